--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -11,16 +11,16 @@
 import time
 
 from fieldspur.host import RESULTS
-from fieldspur.net import holds, logs
-from fieldspur.net.admit import Admit
-from fieldspur.net.board import Board
-from fieldspur.net.book import Book
-from fieldspur.net.holds import asked_again, contained, keep_running
-from fieldspur.net.now import EPOCH
-from fieldspur.net.relay import Relay
-from fieldspur.net.route import Route
-from fieldspur.net.send import Send
-from fieldspur.net.takein import TakeIn
+from fieldspur.net import invariants, logs
+from fieldspur.net.admission import Admit
+from fieldspur.net.client_listener import TakeIn
+from fieldspur.net.client_writer import Relay
+from fieldspur.net.connection_pool import Send
+from fieldspur.net.discovery import Board
+from fieldspur.net.invariants import asked_again, contained, keep_running
+from fieldspur.net.nonblocking import EPOCH
+from fieldspur.net.open_txns import Book
+from fieldspur.net.router_host import Route
 from fieldspur.operators import BadFile, Operators, UnopenedFile, read
 from fieldspur.permissions import Gate, GiveUp, may_exit
 from fieldspur.record import replace
@@ -64,7 +64,7 @@
         if wishes.fleet.name:  # off by default; only then is any of it imported
             if node.name not in wishes.fleet.members:
                 raise BadFile(f"fleet.members: {node.name}, this router, is not among them")
-            from fieldspur.fleet.overlay import Overlay
+            from fieldspur.fleet.list_overlay import Overlay
 
             overlay = Overlay(self.route)
         self.board = self.send.board = Board(node.board, overlay or self.route, node.seed)
@@ -81,7 +81,7 @@
         )
         self.talk = None
         if overlay is not None:
-            from fieldspur.fleet.talk import NotKept, Talk
+            from fieldspur.fleet.transport import NotKept, Talk
 
             try:
                 self.talk = Talk(wishes.fleet, node.name, node.seed, overlay)
@@ -164,7 +164,7 @@
                     "list_changes": self.board.list_changes,
                     "purges": self.board.purges,
                     "rev": self.board.last,
-                    "broken": sum(holds.broken.values()),
+                    "broken": sum(invariants.broken.values()),
                     **self.reasons(),
                     **{f"shape_{kind}": n for kind, n in self.route.router.differs.items()},
                 }
--- a/fieldspur/bench/count.py
+++ b/fieldspur/bench/count.py
@@ -18,9 +18,9 @@
 from collections import Counter as Tally
 from pathlib import Path
 
-from fieldspur.bench import peers, plain
+from fieldspur.bench import peers, sample_settings
 from fieldspur.bench.path import ROOT, BenchFailed, free_port, peer
-from fieldspur.net import now
+from fieldspur.net import nonblocking
 
 LIMITS = Path(__file__).with_name("limits.json")
 OTHERS = ("watch", "counts", "board")  # threads that work by time and not by txn
@@ -41,13 +41,13 @@
         self.cache = peer(what="hits", body=SIZES[rule])
         self.board = socket.create_server(("127.0.0.1", 0))
         listen = free_port()
-        conf = plain.node_file(listen, self.board.getsockname()[1], [("c0", int(self.cache.stdout.readline()), "std")])
+        conf = sample_settings.node_file(listen, self.board.getsockname()[1], [("c0", int(self.cache.stdout.readline()), "std")])
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump(conf, file)
             file.flush()
             self.service = Service(read_node({"LB_CONFIG": file.name}))
-        self.raw = now.raw  # no event tells of this one
-        now.raw = self.counted_raw if self.raw is not None else None
+        self.raw = nonblocking.raw  # no event tells of this one
+        nonblocking.raw = self.counted_raw if self.raw is not None else None
         self.seen: dict[int, Tally] = {}  # by thread
         self.counting = False
         threading.setprofile(self.event)  # of the threads that the service starts
@@ -77,7 +77,7 @@
         return self.raw(*about)
 
     def close(self) -> None:
-        now.raw = self.raw
+        nonblocking.raw = self.raw
         threading.setprofile(None)
         self.sock.close()
         self.service.takein.close()
--- a/fieldspur/bench/path.py
+++ b/fieldspur/bench/path.py
@@ -15,7 +15,7 @@
 import time
 from pathlib import Path
 
-from fieldspur.bench.plain import node_file
+from fieldspur.bench.sample_settings import node_file
 
 WORKS = {  # name: (rule, bytes of a body, connections, txns in flight on each)
     "pages-1": ("pages", 2048, 1, 1),
--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -10,15 +10,15 @@
 import time
 from collections import defaultdict
 
-from fieldspur.fleet import agree, plan, work
+from fieldspur.fleet import consensus, planner, work_orders
+from fieldspur.fleet.coordinator import COLD, WELL, Foreman, bare
 from fieldspur.fleet.follower import Follower
-from fieldspur.fleet.foreman import COLD, WELL, Foreman, bare
-from fieldspur.fleet.node import Node
+from fieldspur.fleet.member import Node
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LONGEST, WARM = 8 * SECOND, 6 * SECOND
 NEEDS = 5.0  # s of work on a machine
-BOUNDS = plan.Bounds(zone=0.05, all=0.05, both=0.01, at_once=32)
+BOUNDS = planner.Bounds(zone=0.05, all=0.05, both=0.01, at_once=32)
 
 
 class Cost:
@@ -33,9 +33,10 @@
         self.random, self.now, self.votes, self.length = random.Random(seed), SECOND, votes, int(lease * SECOND)
         self.zones = [f"z{n}" for n in range(zones)]
         self.board = {
-            f"{self.zones[n % zones]}-c{n}": work.Listing("up", 0, f"h:{n}", self.zones[n % zones], "cache", 20.0) for n in range(caches)
+            f"{self.zones[n % zones]}-c{n}": work_orders.Listing("up", 0, f"h:{n}", self.zones[n % zones], "cache", 20.0)
+            for n in range(caches)
         }
-        self.board |= {f"p{n}": work.Listing("up", 0, f"p:{n}", "z0", "parent", 200.0) for n in range(8)}
+        self.board |= {f"p{n}": work_orders.Listing("up", 0, f"p:{n}", "z0", "parent", 200.0) for n in range(8)}
         self.names = [f"v{n}" for n in range(votes)]
         self.all = self.names + [f"r{n}" for n in range(routers - votes)]
         self.wishes: dict[str, list] = {name: [] for name in self.all}
@@ -53,7 +54,7 @@
         foreman = Foreman(self.names, name, self.zone(name), self.length, BOUNDS, False, LONGEST, WARM)
         foreman.wishes, nonce = self.wishes[name], self.random.randrange(1, 1 << 40)
         if name in self.names:
-            return Node("sized", agree.blank(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, foreman)
+            return Node("sized", consensus.blank(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, foreman)
         return Follower("sized", name, nonce, self.votes, self.now, self.length, foreman)
 
     def acting(self) -> str | None:
@@ -71,7 +72,7 @@
         cold = {
             one.machine
             for one in foreman.work.orders
-            if one.state == work.BACK and self.now - self.seen.get((one.ident, work.BACK), self.now) < WARM
+            if one.state == work_orders.BACK and self.now - self.seen.get((one.ident, work_orders.BACK), self.now) < WARM
         }
         foreman.loads = {
             cache: [20.0, round(self.random.uniform(0.2, 0.6), 2), 5.0, COLD if cache in cold else WELL]
@@ -123,9 +124,9 @@
                 cost.lines += 1
                 self.note(member.foreman.work)
 
-    def note(self, found: work.Work) -> None:
+    def note(self, found: work_orders.Work) -> None:
         for order in found.orders:
-            if self.seen.setdefault((order.ident, order.state), self.now) == self.now and order.state == work.FREE:
+            if self.seen.setdefault((order.ident, order.state), self.now) == self.now and order.state == work_orders.FREE:
                 if not any(machine == order.machine for _, machine in self.restarts):
                     self.restarts.append((self.now + int(order.needs * SECOND), order.machine))
         for ended in found.ended:
@@ -143,11 +144,11 @@
         self.run(60, lambda: self.acting() is not None and len(self.latest().routers) == len(self.all) - self.votes)
         self.run(2)
 
-    def latest(self) -> work.Work:
+    def latest(self) -> work_orders.Work:
         return max((self.members[name].foreman.work for name in self.names), key=lambda one: one.number)
 
     def ask(self, name: str, ident: str, machine: str) -> None:
-        self.wishes[name].append(work.Wish(ident, machine, NEEDS))
+        self.wishes[name].append(work_orders.Wish(ident, machine, NEEDS))
 
     def table(self, seconds: float) -> dict:
         """By role, a member's share of a core and its lines, over a span that began with fresh costs."""
@@ -186,33 +187,33 @@
     began = fleet.now
     for n, ident in enumerate(chosen):
         fleet.ask(fleet.all[-1 - n % (routers - votes)], ident, machines[n % len(machines)])
-    agreed = fleet.run(60, all_in(chosen, work.WAITING, work.NEXT))
-    gone = agreed + fleet.run(120, all_in(chosen, work.FREE))
-    done = gone + fleet.run(300, all_in(chosen, work.DONE))
+    agreed = fleet.run(60, all_in(chosen, work_orders.WAITING, work_orders.NEXT))
+    gone = agreed + fleet.run(120, all_in(chosen, work_orders.FREE))
+    done = gone + fleet.run(300, all_in(chosen, work_orders.DONE))
     found["busy"] = fleet.table((fleet.now - began) / SECOND)
     found["orders"] = {
         "many": orders,
         "agreed_s": round(agreed, 2),
         "all_free_s": round(gone, 2),
         "all_done_s": round(done, 2),
-        "done": sum((ident, work.DONE) in fleet.seen for ident in chosen),
+        "done": sum((ident, work_orders.DONE) in fleet.seen for ident in chosen),
     }
     # A region is cut off, with one that settles, while orders that were announced to it go, and further ones are asked for.
     late, quarter = [f"late-{n}" for n in range(4)], set(fleet.zones[: max(1, zones // 4)])
     before = [f"early-{n}" for n in range(4)]
     for n, ident in enumerate(before):
         fleet.ask(fleet.names[-1], ident, machines[-1 - n])
-    fleet.run(60, all_in(before, work.GOING))
+    fleet.run(60, all_in(before, work_orders.GOING))
     fleet.cut = {name for name in fleet.all if name not in fleet.names and fleet.zone(name) in quarter} | {fleet.names[0]}
     cut_at = fleet.now
-    fleet.run(60, all_in(before, work.FREE))
+    fleet.run(60, all_in(before, work_orders.FREE))
     free = (fleet.now - cut_at) / SECOND
     for n, ident in enumerate(late):
         fleet.ask(fleet.names[-1], ident, machines[-5 - n])
     fleet.run(20)
-    waiting = {one.note for one in fleet.latest().orders if one.ident in late and one.state in (work.NEXT, work.WAITING)}
+    waiting = {one.note for one in fleet.latest().orders if one.ident in late and one.state in (work_orders.NEXT, work_orders.WAITING)}
     fleet.cut = set()
-    heals = fleet.run(300, all_in((*before, *late), work.DONE))
+    heals = fleet.run(300, all_in((*before, *late), work_orders.DONE))
     found["region"] = {
         "cut_off": sum(name not in fleet.names for name in fleet.all if fleet.zone(name) in quarter),
         "announced_before": len(before),
@@ -220,6 +221,6 @@
         "asked_meanwhile": len(late),
         "waits": sorted(waiting)[:2],
         "all_done_after_heal_s": round(heals, 2),
-        "done": sum((ident, work.DONE) in fleet.seen for ident in (*before, *late)),
+        "done": sum((ident, work_orders.DONE) in fleet.seen for ident in (*before, *late)),
     }
     return found
--- a/fieldspur/bench/start.py
+++ b/fieldspur/bench/start.py
@@ -22,7 +22,7 @@
 
 from fieldspur.bench.count import LIMITS, passed
 from fieldspur.bench.path import ROOT, BenchFailed, free_port
-from fieldspur.bench.plain import node_file
+from fieldspur.bench.sample_settings import node_file
 
 LOOK = 0.002  # seconds between questions whether it is ready
 LONGEST = 20.0
--- a/fieldspur/bench/takeover.py
+++ b/fieldspur/bench/takeover.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 
 from fieldspur.bench.path import ROOT, BenchFailed, free_port
-from fieldspur.bench.plain import node_file
+from fieldspur.bench.sample_settings import node_file
 from fieldspur.bench.start import Board
-from fieldspur.fleet.desk import line_of
+from fieldspur.fleet.admin import line_of
 
 LOOK = 0.02  # s
 LONGEST = 30.0
--- a/fieldspur/bench/timers.py
+++ b/fieldspur/bench/timers.py
@@ -10,7 +10,7 @@
 import random
 import time
 
-from fieldspur.net.wheel import Wheel
+from fieldspur.net.timer_wheel import Wheel
 
 MS = 1_000_000
 
--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -52,7 +52,7 @@
 def check(file, kind) -> None:
     """Check a node's file, an operators' file or a scenario. A faulty key is named; code 2."""
     from fieldspur import operators, site
-    from fieldspur.lab.plays import scenario
+    from fieldspur.lab.runs import scenario
 
     try:
         data = Path(file).read_bytes()
@@ -82,7 +82,7 @@
 def schema(kind) -> None:
     """Print the JSON schema of the operators' file or of a scenario."""
     from fieldspur import operators
-    from fieldspur.lab.plays import scenario
+    from fieldspur.lab.runs import scenario
 
     click.echo(operators.schema_text() if kind == "operators" else scenario.schema_text(), nl=False)
 
@@ -102,7 +102,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Figures as JSON.")
 def bench_path(guard, against, works, seconds, rounds, core, as_json) -> None:
     """Counts and costs of the ordinary path, a txn."""
-    from fieldspur.bench import count, path, tell
+    from fieldspur.bench import count, path, tables
 
     try:
         if guard:
@@ -121,7 +121,7 @@
         counted = {} if against else {rule: path.counted(rule) for rule in count.SIZES}
     except path.BenchFailed as wrong:
         raise click.ClickException(str(wrong)) from None
-    click.echo(json.dumps({"works": rows, "counts": counted}) if as_json else tell.table(rows, counted))
+    click.echo(json.dumps({"works": rows, "counts": counted}) if as_json else tables.table(rows, counted))
 
 
 @bench.command("start")
@@ -191,14 +191,14 @@
 @lab.command("list")
 def lab_list() -> None:
     """Scenarios that come with the program."""
-    from fieldspur.lab.plays import scenario
+    from fieldspur.lab.runs import scenario
 
     for name in scenario.names():
         click.echo(f"{name:16}{scenario.load(name).about}")
 
 
 def scenario_of(name: str, seed=None, seconds=None):
-    from fieldspur.lab.plays import scenario
+    from fieldspur.lab.runs import scenario
     from fieldspur.operators import BadFile
 
     try:
@@ -219,17 +219,17 @@
 @click.option("--simulated", is_flag=True, help="In simulated time, without sockets, at the scenario's own size.")
 def lab_run(name, seed, seconds, build, as_json, report, logs, top, simulated) -> None:
     """Play a scenario, a name of `lab list` or a JSON file. Code 1 where a rule or an expectation broke."""
-    from fieldspur.lab.judge import report as reporting
-    from fieldspur.lab.plays import far, play
+    from fieldspur.lab.checks import report as reporting
+    from fieldspur.lab.runs import scenario_run, simulation
     from fieldspur.operators import BadFile
 
     plan = scenario_of(name, seed, seconds)
     try:
         if plan.far is not None or simulated:
-            found = far.play(plan)
+            found = simulation.play(plan)
         else:
-            found = play.play(plan, build=build, logs=logs, live=reporting.Live() if top else None)
-    except play.LabFailed as wrong:
+            found = scenario_run.play(plan, build=build, logs=logs, live=reporting.Live() if top else None)
+    except scenario_run.LabFailed as wrong:
         raise click.ClickException(str(wrong)) from None
     except BadFile as wrong:
         raise Bad(f"{name}: {wrong}") from None
@@ -249,8 +249,8 @@
 @click.option("--json", "as_json", is_flag=True, help="All figures as JSON; without it, the main ones as a table.")
 def lab_soak(seed, seconds, routers, only, build, logs, as_json) -> None:
     """Random troubles that overlap, on real processes and sockets, replayable by the seed. Code 1 where an invariant broke."""
-    from fieldspur.lab.judge import report as reporting
-    from fieldspur.lab.plays import play
+    from fieldspur.lab.checks import report as reporting
+    from fieldspur.lab.runs import scenario_run
     from fieldspur.lab.soak import play as soaking
 
     try:
@@ -259,7 +259,7 @@
         raise Bad(f"--only: {only}: numbers separated by commas wanted") from None
     try:
         found = soaking.soak(seed, seconds, routers, chosen, build, logs)
-    except play.LabFailed as wrong:
+    except scenario_run.LabFailed as wrong:
         raise click.ClickException(str(wrong)) from None
     click.echo(json.dumps(found) if as_json else reporting.text(found))
     raise SystemExit(0 if found["passed"] else 1)
@@ -274,7 +274,7 @@
 def lab_compare(first, second, name, report, as_json) -> None:
     """Set two side by side, each a checkout of fieldspur, which plays the scenario, or a run: figures of `lab run --json`,
     or a report's folder. Code 1 where one of them broke a rule or an expectation."""
-    from fieldspur.lab.plays import play
+    from fieldspur.lab.runs import scenario_run
 
     plan = scenario_of(name)
 
@@ -283,7 +283,7 @@
         if (path / "fieldspur").is_dir():
             if plan.far is not None:
                 raise Bad(f"{name}: plays in simulated time, which knows one build only")
-            return play.play(plan, build=where)
+            return scenario_run.play(plan, build=where)
         try:
             found = json.loads((path / "figures.json" if path.is_dir() else path).read_text())
             found = found[0] if isinstance(found, list) else found
@@ -295,14 +295,14 @@
 
     try:
         found = [figures(first), figures(second)]
-    except play.LabFailed as wrong:
+    except scenario_run.LabFailed as wrong:
         raise click.ClickException(str(wrong)) from None
     beside(found, report, as_json)
 
 
 def beside(found: list, report, as_json: bool) -> None:
     """Runs side by side, and code 1 where one of them broke something."""
-    from fieldspur.lab.judge import report as reporting
+    from fieldspur.lab.checks import report as reporting
 
     if report:
         reporting.write(Path(report), found)
@@ -320,7 +320,7 @@
     or an expectation broke."""
     import msgspec
 
-    from fieldspur.lab.plays import play
+    from fieldspur.lab.runs import scenario_run
 
     plan = scenario_of(name, seed)
     if plan.fleet is None:
@@ -328,9 +328,9 @@
     found = []
     try:
         for way in ("fleet", "hand", "untouched"):
-            found.append(play.play(msgspec.structs.replace(plan, fleet=msgspec.structs.replace(plan.fleet, way=way))))
+            found.append(scenario_run.play(msgspec.structs.replace(plan, fleet=msgspec.structs.replace(plan.fleet, way=way))))
             found[-1]["build"] = way
-    except play.LabFailed as wrong:
+    except scenario_run.LabFailed as wrong:
         raise click.ClickException(str(wrong)) from None
     beside(found, report, as_json)
 
@@ -340,15 +340,15 @@
 @click.option("--seconds", type=click.FloatRange(1, 86_400), help="Longer or shorter.")
 def top(name, seconds) -> None:
     """A live table of routers and servers while a scenario plays; ends with it, or with Ctrl-C."""
-    from fieldspur.lab.judge import report as reporting
-    from fieldspur.lab.plays import play
+    from fieldspur.lab.checks import report as reporting
+    from fieldspur.lab.runs import scenario_run
 
     plan = scenario_of(name, None, seconds)
     if plan.far is not None:
         raise Bad(f"{name}: plays in simulated time; there is nothing to watch")
     try:
-        found = play.play(plan, live=reporting.Live())
-    except play.LabFailed as wrong:
+        found = scenario_run.play(plan, live=reporting.Live())
+    except scenario_run.LabFailed as wrong:
         raise click.ClickException(str(wrong)) from None
     except KeyboardInterrupt:
         raise SystemExit(130) from None
@@ -382,7 +382,7 @@
 @contextmanager
 def spoken(file: str):
     """What a desk says that it can't do, as one line and a code."""
-    from fieldspur.fleet.desk import Refused
+    from fieldspur.fleet.admin import Refused
     from fieldspur.operators import BadFile
 
     try:
@@ -394,10 +394,10 @@
 
 
 def desk_of(file: str):
-    from fieldspur.fleet import desk
+    from fieldspur.fleet import admin
 
     with spoken(file):
-        return desk, Path(file), desk.read(Path(file))[1]
+        return admin, Path(file), admin.read(Path(file))[1]
 
 
 @main.group()
--- a/fieldspur/fleet/desk.py
+++ b/fieldspur/fleet/admin.py
@@ -13,9 +13,9 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from fieldspur.fleet import agree, words, work
-from fieldspur.fleet.foreman import Report, report
-from fieldspur.fleet.wishes import ident
+from fieldspur.fleet import consensus, register_codec, work_orders
+from fieldspur.fleet.coordinator import Report, report
+from fieldspur.fleet.work_requests import ident
 from fieldspur.operators import BadFile, Fleet, member, parse
 
 ANSWER = 2.0  # s for a member to be reached and to say its line
@@ -36,7 +36,7 @@
     life: int
     ballot: tuple
     ticks: bool  # it asks to act, and others keep the promise as far as it says
-    work: work.Work
+    work: work_orders.Work
     report: Report | None
 
 
@@ -56,8 +56,17 @@
     """From a member's line; raises BadWord or BadOrder where it is of another fleet or version."""
     raw = line.get("work")
     if "follower" in line:
-        return Told(name, zone, False, 0, agree.NO_BALLOT, False, work.NOTHING, report(raw, words.number(line.get("nonce"), "nonce")))
-    register = words.register(line["register"], settle)
+        return Told(
+            name,
+            zone,
+            False,
+            0,
+            consensus.NO_BALLOT,
+            False,
+            work_orders.NOTHING,
+            report(raw, register_codec.number(line.get("nonce"), "nonce")),
+        )
+    register = register_codec.register(line["register"], settle)
     return Told(
         name,
         zone,
@@ -65,7 +74,7 @@
         register.life,
         register.promised,
         line.get("tick", [[0, -1]])[0] == list(register.promised),
-        work.read(register.decided.value),
+        work_orders.read(register.decided.value),
         report(raw, register.nonce) if raw is not None else None,
     )
 
@@ -83,13 +92,13 @@
         else:
             try:
                 found[name] = told(name, zone, line, len(fleet.votes or fleet.members))
-            except (words.BadWord, work.BadOrder) as bad:
+            except (register_codec.BadWord, work_orders.BadOrder) as bad:
                 found[name] = f"of another version: {bad}"
     return found
 
 
-def latest(found: dict[str, Told | str]) -> work.Work:
-    return max((one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work.NOTHING)
+def latest(found: dict[str, Told | str]) -> work_orders.Work:
+    return max((one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.NOTHING)
 
 
 def acting(found: dict[str, Told | str], fleet: Fleet) -> str | None:
@@ -145,7 +154,7 @@
     return row.get("id") or ident(row)
 
 
-def add(path: Path, document: work.Work, machine: str, needs: float, before: float = 0.0, beside: tuple = ()) -> str:
+def add(path: Path, document: work_orders.Work, machine: str, needs: float, before: float = 0.0, beside: tuple = ()) -> str:
     """A new order, under a name of its own, so that a machine may be worked on again later. Those that have ended by the document
     leave the file."""
     over = {one.ident for one in document.ended}
@@ -167,7 +176,7 @@
     return change(path, what)
 
 
-def mark(path: Path, order: work.Order, key: str, yes: bool = True) -> None:
+def mark(path: Path, order: work_orders.Order, key: str, yes: bool = True) -> None:
     """`hold`, `back` or `drop` of an order. Raises Refused where it is to be held, and was asked for at another router, whose file
     says otherwise."""
 
@@ -231,7 +240,7 @@
     return found[0]
 
 
-def settled(fleet: Fleet, order: str, wait: float, how) -> work.Order | work.Ended:
+def settled(fleet: Fleet, order: str, wait: float, how) -> work_orders.Order | work_orders.Ended:
     """Waits until the fleet has agreed on that order as `how(order or ended)` wants it; raises Refused with what stands meanwhile."""
     end, seen = time.monotonic() + wait, None
     while True:
@@ -246,7 +255,7 @@
                     "no majority has agreed on it"
                     if seen is None
                     else f"{seen.machine} is {seen[6]}"
-                    if isinstance(seen, work.Order)
+                    if isinstance(seen, work_orders.Order)
                     else f"{seen.machine} ended as {seen.how}"
                 )
             )
--- a/fieldspur/fleet/foreman.py
+++ b/fieldspur/fleet/coordinator.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from fieldspur.fleet import plan, words, work
-from fieldspur.fleet.listed import Granted, Listed
+from fieldspur.fleet import planner, register_codec, work_orders
+from fieldspur.fleet.list_lease import Granted, Listed
 
 WELL, EJECTED, COLD = 0, 1, 2  # how a router finds a server
 MOST_LOADS = 512  # servers that one member tells of
@@ -65,44 +65,44 @@
 def report(raw: Any, nonce: int) -> Report:
     """From what a line says under `work`; raises BadWord or BadOrder."""
     if type(raw) is not dict:
-        raise words.BadWord("work: an object wanted")
+        raise register_codec.BadWord("work: an object wanted")
     open_at, loads, asks, rest = raw.get("open"), raw.get("loads"), raw.get("asks"), raw.get("rest")
-    if type(open_at) is not dict or len(open_at) > work.MOST_ORDERS:
-        raise words.BadWord("work.open: a short object wanted")
+    if type(open_at) is not dict or len(open_at) > work_orders.MOST_ORDERS:
+        raise register_codec.BadWord("work.open: a short object wanted")
     if loads is not None and (type(loads) is not dict or len(loads) > MOST_LOADS or type(rest) is not list or len(rest) != 2):
-        raise words.BadWord("work.loads and work.rest: a short object and a pair wanted")
+        raise register_codec.BadWord("work.loads and work.rest: a short object and a pair wanted")
     if type(asks) is not list or len(asks) > MOST_ASKS:
-        raise words.BadWord("work.asks: a short list wanted")
+        raise register_codec.BadWord("work.asks: a short list wanted")
     turned = raw.get("turned")
     if type(turned) is not list or len(turned) != 2:
-        raise words.BadWord("work.turned: two figures wanted")
+        raise register_codec.BadWord("work.turned: two figures wanted")
     zone = raw.get("zone")
     if type(zone) is not str or type(raw.get("strict")) is not bool or type(raw.get("doubt")) is not bool:
-        raise words.BadWord("work.zone, work.strict or work.doubt: a name, true or false wanted")
+        raise register_codec.BadWord("work.zone, work.strict or work.doubt: a name, true or false wanted")
     return Report(
         nonce,
-        words.number(raw.get("holds"), "work.holds"),
-        words.number(raw.get("count"), "work.count"),
-        {name: words.number(many, "work.open") for name, many in open_at.items()},
+        register_codec.number(raw.get("holds"), "work.holds"),
+        register_codec.number(raw.get("count"), "work.count"),
+        {name: register_codec.number(many, "work.open") for name, many in open_at.items()},
         raw["strict"],
         raw["doubt"],
         {name: load(row) for name, row in loads.items()} if loads is not None else None,
         tuple(map(load, rest)) if loads is not None else (NO_LOAD, NO_LOAD),
         tuple(figure(one, "work.turned") for one in turned),
-        tuple(map(work.read_ask, asks)),
+        tuple(map(work_orders.read_ask, asks)),
         zone,
     )
 
 
 def load(raw: Any) -> Load:
     if type(raw) is not list or len(raw) < 4:
-        raise words.BadWord("work.loads: three figures and a number wanted")
-    return Load(*(figure(one, "work.loads") for one in raw[:3]), words.number(raw[3], "work.loads"))
+        raise register_codec.BadWord("work.loads: three figures and a number wanted")
+    return Load(*(figure(one, "work.loads") for one in raw[:3]), register_codec.number(raw[3], "work.loads"))
 
 
 def figure(raw: Any, name: str) -> float:
     if type(raw) not in (int, float) or not 0 <= raw < 1e12:
-        raise words.BadWord(f"{name}: a figure of 0 or more wanted")
+        raise register_codec.BadWord(f"{name}: a figure of 0 or more wanted")
     return float(raw)
 
 
@@ -110,18 +110,18 @@
     """`names` of those that settle things, in their order; `own` is among them, or follows what they settle. `length` ns is a
     lease's, `longest` ns the longest time limit of a txn, `warm` ns from cold to full."""
 
-    def __init__(self, names: list[str], own: str, zone: str, length: int, bounds: plan.Bounds, strict: bool, longest: int, warm: int):
+    def __init__(self, names: list[str], own: str, zone: str, length: int, bounds: planner.Bounds, strict: bool, longest: int, warm: int):
         self.names, self.own, self.zone = names, own, zone
         self.bounds, self.strict, self.longest, self.warm = bounds, strict, longest, warm
         self.beat, self.ask_every = length // 6, length // ASKS
-        self.wishes: list[work.Wish] = []
+        self.wishes: list[work_orders.Wish] = []
         self.listed, self.granted = Listed(length), Granted(length)
         self.left: list[str] = []  # routers that an operator takes out
         self.reports: dict[str, Report] = {}
         self.silent: set[str] = set()  # members whose lines say nothing of work: an older version
         self.grants: dict[str, tuple] = {}  # of who acts here: the nonce and count last granted, by member
-        self.board: dict[str, work.Listing] = {}
-        self.work, self.of = work.NOTHING, None  # as known here, and the value it was read from
+        self.board: dict[str, work_orders.Listing] = {}
+        self.work, self.of = work_orders.NOTHING, None  # as known here, and the value it was read from
         self.holds = 0  # the document that this router goes by
         self.open: dict[str, int] = {}
         self.loads: dict[str, list] = {}  # of all servers that this router uses
@@ -146,21 +146,21 @@
     def know(self, value: Any) -> None:
         """The latest document that is decided, as far as is known here."""
         if value is not self.of:
-            self.of, found = value, work.read(value)
+            self.of, found = value, work_orders.read(value)
             if found.number >= self.work.number:
                 self.work = found
 
     def off(self, now: int) -> frozenset:
         """The machines that this router keeps off at this moment."""
-        return self.work.machines(work.KEPT_OFF) if self.listed.holds(now) else self.announced()
+        return self.work.machines(work_orders.KEPT_OFF) if self.listed.holds(now) else self.announced()
 
     def announced(self) -> frozenset:
         """What may have gone since, for all this router knows."""
-        return self.work.machines(work.ANNOUNCED) | self.perhaps
+        return self.work.machines(work_orders.ANNOUNCED) | self.perhaps
 
     def back(self) -> frozenset:
         """(machine, number) of those that come back: they count as cold from when that was first heard here."""
-        return frozenset((one.machine, one.at) for one in self.work.orders if one.state == work.BACK)
+        return frozenset((one.machine, one.at) for one in self.work.orders if one.state == work_orders.BACK)
 
     def in_doubt(self, now: int) -> bool:
         """This router can't know what followed on what it heard, and something may have."""
@@ -175,7 +175,7 @@
         return self.own in self.names or self.own in self.work.routers
 
     def asks(self) -> tuple:
-        found = work.asks(self.wishes, self.work, self.own)
+        found = work_orders.asks(self.wishes, self.work, self.own)
         if not self.counted():
             found = (("join", self.own), *found)
         return (*(("leave", name) for name in self.left), *found)[:MOST_ASKS]  # so long as it stands in a file, none joins
@@ -207,7 +207,7 @@
         rest = [[0.0, 0.0, 0.0, 0], [0.0, 0.0, 0.0, 0]]
         for name, row in self.loads.items():
             if name not in alone:
-                into = rest[self.board.get(name, work.Listing()).kind == "parent"]
+                into = rest[self.board.get(name, work_orders.Listing()).kind == "parent"]
                 for at in range(3):
                     into[at] = round(into[at] + row[at], 3)
                 into[3] += 1
@@ -222,10 +222,10 @@
         """A line of that member or follower, with the values in its register; raises BadWord."""
         try:
             for one in agreed:
-                work.read(one)
+                work_orders.read(one)
             self.take(value.get("work"), name, nonce, own_nonce)
-        except work.BadOrder as bad:
-            raise words.BadWord(str(bad)) from None
+        except work_orders.BadOrder as bad:
+            raise register_codec.BadWord(str(bad)) from None
 
     def take(self, raw: Any, name: str, nonce: int, own_nonce: int) -> None:
         if raw is None:
@@ -236,11 +236,14 @@
         grants = raw.get("grants", [])
         if (
             type(grants) is not list
-            or len(grants) > work.MOST_ROUTERS + len(self.names)
+            or len(grants) > work_orders.MOST_ROUTERS + len(self.names)
             or not all(type(one) is list and len(one) == 3 and type(one[0]) is str for one in grants)
         ):
-            raise words.BadWord("work.grants: a list of members wanted")
-        rows = [(to, words.number(process, "work.grants"), words.number(count, "work.grants")) for to, process, count in grants]
+            raise register_codec.BadWord("work.grants: a list of members wanted")
+        rows = [
+            (to, register_codec.number(process, "work.grants"), register_codec.number(count, "work.grants"))
+            for to, process, count in grants
+        ]
         self.silent.discard(name)
         if found.loads is None:
             found = found._replace(loads=before.loads, rest=before.rest) if before else found._replace(loads={})
@@ -256,7 +259,7 @@
         goes by an older document than they need gets no lease, for it may use what is out by one of them. `gone`: members that are
         suspected, by number or name. `may_be`: values that are decided somewhere, or may be, though not known here as such."""
         self.perhaps = frozenset().union(
-            *(found.machines(work.ANNOUNCED) for found in map(work.read, may_be) if found.number > self.work.number)
+            *(found.machines(work_orders.ANNOUNCED) for found in map(work_orders.read, may_be) if found.number > self.work.number)
         )
         self.acting, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
@@ -268,7 +271,7 @@
         if not acting:
             self.grants = {}
             return
-        least = max(work.read(value).least() for value in values)
+        least = max(work_orders.read(value).least() for value in values)
         for name, one in self.reports.items():
             counts = name in self.names or name in self.work.routers  # who acts next may not know of others
             if counts and one.count and one.holds >= least and self.grants.get(name) != (one.nonce, one.count):
@@ -282,24 +285,24 @@
         if now - self.looked_at < self.beat // 4:
             return None
         self.looked_at, self.lived = now, None
-        before = work.read(value)
+        before = work_orders.read(value)
         asked = [(name, one) for name, found in self.reports.items() for one in found.asks]
-        asked += [(self.own, work.read_ask(one)) for one in self.asks()]
+        asked += [(self.own, work_orders.read_ask(one)) for one in self.asks()]
         self.wanted = {one.machine for one in before.orders} | {one[2] for _, one in asked if one[0] == "add"}
         self.remember(now)
-        after = work.succeed(before, asked, self.sight(now))
+        after = work_orders.succeed(before, asked, self.sight(now))
         if after is None:
             return None
         if plain(after) == plain(before):
             if now - self.noted_at < NOTES_EVERY:
                 return None
             self.noted_at = now
-        return words.frozen(work.value(after))
+        return register_codec.frozen(work_orders.value(after))
 
     # How who acts sees the whole.
 
-    def sight(self, now: int) -> work.Sight:
-        return work.Sight(
+    def sight(self, now: int) -> work_orders.Sight:
+        return work_orders.Sight(
             self.wall,
             self.board,
             self.park(now),
@@ -312,7 +315,7 @@
             lambda order: self.bears(order, now),
         )
 
-    def plans(self, free: list, running: list, park: plan.Park, now: int) -> plan.Plan:
+    def plans(self, free: list, running: list, park: planner.Park, now: int) -> planner.Plan:
         """A plan costs some 30 ms for a dozen units: it is made anew where what it is made for differs, and now and then."""
         about = (
             [unit._replace(before=0.0) for unit in free],
@@ -323,7 +326,7 @@
             park.forbids(frozenset().union(*(unit.machines for unit, _ in running))),
         )
         if about != self.planned_for or now - self.planned_at >= PLAN_EVERY:
-            self.planned_for, self.planned_at, self.planned = about, now, plan.plan(free, running, park)
+            self.planned_for, self.planned_at, self.planned = about, now, planner.plan(free, running, park)
         return self.planned
 
     def others(self) -> list[str]:
@@ -385,27 +388,27 @@
         )
         return [mine, *(one for name, one in self.reports.items() if name not in self.gone)]
 
-    def park(self, now: int) -> plan.Park:
+    def park(self, now: int) -> planner.Park:
         """As `made`, which looks at the whole board: anew where the board or the document is another, and a few times a second."""
         about = (id(self.board), self.work.number, self.wanted)
         if about != self.parked_for or now - self.parked_at >= PARK_EVERY:
             self.parked_for, self.parked_at, self.parked = about, now, self.made()
         return self.parked
 
-    def made(self) -> plan.Park:
+    def made(self) -> planner.Park:
         """All machines, by what live routers say of them. Each router sees the caches of its own location, and all parents; those that
         nobody speaks of by themselves stand together, as one that is never asked for."""
         live = self.live()
         machines, told, trouble = {}, {one.zone for one in live if one.loads or any(row.how for row in one.rest)}, {}
-        away = self.work.machines(work.AWAY)
+        away = self.work.machines(work_orders.AWAY)
         for name in sorted({name for one in live for name in one.loads} | self.wanted):
-            listing = self.board.get(name, work.Listing())
+            listing = self.board.get(name, work_orders.Listing())
             if not listing.kind:
                 continue
             rows = [one.loads[name] for one in live if name in one.loads]
             ill = sum(row.how == EJECTED for row in rows) * 2 > len(rows) or any(row.how == COLD for row in rows)
             capacities = sorted(row.capacity for row in rows) or [listing.rating]
-            machines[name] = plan.Machine(
+            machines[name] = planner.Machine(
                 listing.zone,
                 listing.kind == "parent",
                 capacities[len(capacities) // 2],
@@ -415,7 +418,7 @@
             )
         for name, listing in self.board.items():
             if listing.kind and listing.state == "draining" and name not in machines:
-                machines[name] = plan.Machine(listing.zone, listing.kind == "parent", listing.rating, 0.0, 0.0, False)
+                machines[name] = planner.Machine(listing.zone, listing.kind == "parent", listing.rating, 0.0, 0.0, False)
         many = Counter(
             (listing.zone, listing.kind)
             for name, listing in self.board.items()
@@ -426,7 +429,7 @@
             rest = [one.rest[at] for one in live if (at or one.zone == zone) and one.rest[at].how]
             if rest:  # `how` of a sum is how many it stands for
                 share = count / max(one.how for one in rest)
-                machines[f"{zone} {kind}s"] = plan.Machine(
+                machines[f"{zone} {kind}s"] = planner.Machine(
                     zone,
                     bool(at),
                     share * sum(one.capacity for one in rest) / len(rest),
@@ -439,12 +442,12 @@
                 trouble[zone] = "no router there tells its load"
             elif every >= FEW and turned > BUSY_TROUBLE * every:
                 trouble[zone] = "txns are turned away there"
-        return plan.Park(machines, self.bounds, trouble)
+        return planner.Park(machines, self.bounds, trouble)
 
-    def bears(self, order: work.Order, now: int) -> str:
+    def bears(self, order: work_orders.Order, now: int) -> str:
         """What a machine that is back still lacks."""
         since = self.back_at.setdefault((order.ident, order.at), now)
-        if len(self.back_at) > work.MOST_ORDERS:
+        if len(self.back_at) > work_orders.MOST_ORDERS:
             del self.back_at[next(iter(self.back_at))]
         live = self.live()
         late = [one for one in live if one.holds < order.at]
@@ -460,7 +463,7 @@
             return f"bears {mine:.1f} of {wanted:.1f} transfers"
         return ""
 
-    def part(self, machine: str, park: plan.Park) -> tuple[float, float, float]:
+    def part(self, machine: str, park: planner.Park) -> tuple[float, float, float]:
         """The load of the machine's location, the machine's own, and its share were the load even; no load where little is to do."""
         own = park.machines.get(machine)
         if own is None:
@@ -475,11 +478,11 @@
         self.bore = {name: share for name, share in self.bore.items() if name in there}
         park = self.park(now)
         for order in self.work.orders:
-            if order.state in (work.WAITING, work.NEXT) and order.machine in self.board:
+            if order.state in (work_orders.WAITING, work_orders.NEXT) and order.machine in self.board:
                 load, mine, _ = self.part(order.machine, park)
                 if load:
                     self.bore[order.machine] = mine / load
 
 
-def plain(of: work.Work) -> list:
+def plain(of: work_orders.Work) -> list:
     return [[one._replace(note="") for one in of.orders], of.ended]
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
-from fieldspur.fleet import agree
-from fieldspur.fleet.agree import Register, Said
-from fieldspur.fleet.foreman import Foreman
-from fieldspur.fleet.members import Members
-from fieldspur.fleet.node import BEATS, Node, caught_up, may_be, same_fleet
+from fieldspur.fleet import consensus
+from fieldspur.fleet.consensus import Register, Said
+from fieldspur.fleet.coordinator import Foreman
+from fieldspur.fleet.failure_detector import Members
+from fieldspur.fleet.member import BEATS, Node, caught_up, may_be, same_fleet
 
 
 class Follower:
@@ -23,7 +23,7 @@
         self.views: list = [None] * members
         self.raw: list = [(None, None)] * members
         self.members = Members(-1, members, now, self.beat, self.beat // 4)
-        self.resumed, self.decided = kept is not None, kept or agree.NOTHING
+        self.resumed, self.decided = kept is not None, kept or consensus.NOTHING
         foreman.know(self.decided.value)
 
     def remember(self, kept: Register, now: int) -> None:
--- a/fieldspur/fleet/lease.py
+++ b/fieldspur/fleet/lease.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from fieldspur.fleet.agree import NO_BALLOT, Ballot, majority
+from fieldspur.fleet.consensus import NO_BALLOT, Ballot, majority
 
 MOST_TICKS = 64  # published and not yet said back; older ones count for nothing
 
--- a/fieldspur/fleet/overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 
 from fieldspur.decide import Fleet
-from fieldspur.fleet.foreman import COLD, EJECTED, MOST_LOADS, WELL
-from fieldspur.fleet.work import Listing
-from fieldspur.net.board import ListChange, Listed
+from fieldspur.fleet.coordinator import COLD, EJECTED, MOST_LOADS, WELL
+from fieldspur.fleet.work_orders import Listing
+from fieldspur.net.discovery import ListChange, Listed
 from fieldspur.permissions import Shut
 from fieldspur.record import replace
 from fieldspur.site import MS
--- a/fieldspur/fleet/node.py
+++ b/fieldspur/fleet/member.py
@@ -6,10 +6,10 @@
 import random
 from typing import Any
 
-from fieldspur.fleet import agree, words
-from fieldspur.fleet.agree import NO_BALLOT, Register, Said
+from fieldspur.fleet import consensus, register_codec
+from fieldspur.fleet.consensus import NO_BALLOT, Register, Said
+from fieldspur.fleet.failure_detector import Members
 from fieldspur.fleet.lease import Backs, Lease
-from fieldspur.fleet.members import Members
 
 BEATS = 6  # ticks of its holder within a lease
 
@@ -17,15 +17,15 @@
 def same_fleet(fleet: str, value: dict) -> None:
     """Raises BadWord where a line is of another."""
     if value.get("fleet") != fleet:
-        raise words.BadWord(f"fleet: {str(value.get('fleet'))[:40]}")
+        raise register_codec.BadWord(f"fleet: {str(value.get('fleet'))[:40]}")
 
 
 def follower_line(fleet: str, name: str, value: dict, foreman, own_nonce: int) -> None:
     """Takes a follower's line, or raises BadWord."""
     same_fleet(fleet, value)
     if value.get("follower") != name:
-        raise words.BadWord(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
-    foreman.heard(value, name, words.number(value.get("nonce"), "nonce", 1), own_nonce)
+        raise register_codec.BadWord(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
+    foreman.heard(value, name, register_codec.number(value.get("nonce"), "nonce", 1), own_nonce)
 
 
 def caught_up(views: list, me: int = -1) -> bool:
@@ -33,7 +33,7 @@
     decided. Guards against a process without memory that hears one that lags, while its life before had said that it goes by a
     later document: who acts may count on that word, and a machine go that this process would use."""
     alive = [one for one in views if one is not None and one.life]
-    return len(alive) >= agree.majority(len(views)) or bool(alive) and all(one is not None for n, one in enumerate(views) if n != me)
+    return len(alive) >= consensus.majority(len(views)) or bool(alive) and all(one is not None for n, one in enumerate(views) if n != me)
 
 
 def may_be(views: list) -> list:
@@ -61,7 +61,7 @@
 
     def remember(self, kept: Register, now: int) -> None:
         """What this member had kept could be read only now. It has said nothing yet, nor come back without it."""
-        self.register = agree.resume(kept, self.register.nonce)
+        self.register = consensus.resume(kept, self.register.nonce)
         self.lease.remembers()
         self.ask_at = now + self.lease.length
         if self.foreman is not None:
@@ -73,7 +73,7 @@
         """A line of that member; raises BadWord where it is none, or of another fleet."""
         same_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
-        backs, tick = (words.ticked(value.get(name), name) for name in ("backs", "tick"))
+        backs, tick = (register_codec.ticked(value.get(name), name) for name in ("backs", "tick"))
         if self.foreman is not None:
             self.foreman.heard(
                 value,
@@ -92,9 +92,9 @@
         before, read = self.raw[member]
         if raw == before and read is not None:
             return read
-        register = words.register(raw, len(self.views))
+        register = register_codec.register(raw, len(self.views))
         if register.member != member:
-            raise words.BadWord(f"member: {register.member} at {member}'s address")
+            raise register_codec.BadWord(f"member: {register.member} at {member}'s address")
         self.raw[member] = raw, register
         return register
 
@@ -112,7 +112,7 @@
             self.members.line(member, self.views[member].nonce, now)
 
     def found(self) -> None:
-        self.register = agree.found(self.register, self.seen())
+        self.register = consensus.found(self.register, self.seen())
 
     # What follows.
 
@@ -122,13 +122,13 @@
         return views
 
     def step(self, now: int) -> None:
-        self.register = agree.step(
+        self.register = consensus.step(
             self.register, self.seen(), lambda ballot: self.lease.may_promise(ballot, now), self.lease.may_return(now)
         )
 
     def follow(self, now: int) -> None:
         before, self.now = self.register, now
-        if agree.fenced(self.register, self.seen()):
+        if consensus.fenced(self.register, self.seen()):
             self.fenced = True
             return
         self.step(now)
@@ -136,7 +136,7 @@
             if ballot == self.register.promised != NO_BALLOT and self.register.life and ballot[1] != self.me:
                 self.lease.read(ballot, tick, now)
         for _ in range(2):
-            said = agree.propose(self.register, self.seen(), self.successor)
+            said = consensus.propose(self.register, self.seen(), self.successor)
             if said is self.register:  # it has no word of its own, as all but the holder, and no step follows
                 break
             self.register = said
@@ -180,7 +180,7 @@
         if self.leads():
             above = max((one.promised for one in self.views if one is not None and one.life), default=NO_BALLOT)
             if above > self.register.promised:  # one that asked in vain while it heard nobody would follow no more
-                self.register = agree.ask(self.register, above)
+                self.register = consensus.ask(self.register, above)
             elif now - self.ticked >= self.beat:
                 self.ticked = now
                 self.lease.publish(self.register.asked, now)
@@ -189,7 +189,7 @@
             self.ask_at = now + self.pause()
         elif now >= self.ask_at and self.lease.may_promise((self.register.promised[0] + 1, self.me), now):
             self.ask_at = now + 2 * self.beat + self.pause()
-            self.register = agree.ask(self.register)
+            self.register = consensus.ask(self.register)
 
     def followed(self, now: int) -> bool:
         """Another acts, as far as is known here: this member follows it, or a majority does, and it was heard."""
@@ -198,13 +198,13 @@
             if (
                 0 <= ballot[1] != self.me
                 and not self.members.gone(ballot[1], now)
-                and (ballot == self.register.promised or kept.count(ballot) >= agree.majority(len(self.views)))
+                and (ballot == self.register.promised or kept.count(ballot) >= consensus.majority(len(self.views)))
             ):
                 return True
         return False
 
     def leads(self) -> bool:
-        return agree.leads(self.register, self.seen())
+        return consensus.leads(self.register, self.seen())
 
     def acts(self, now: int) -> bool:
         """It holds the lease at this moment; to be asked just before each act."""
@@ -219,7 +219,7 @@
         own = self.lease.ballot == self.register.asked == self.register.promised
         return {
             "fleet": self.fleet,
-            "register": words.value(self.register),
+            "register": register_codec.value(self.register),
             "tick": [list(self.lease.ballot), self.lease.tick] if own else [list(NO_BALLOT), 0],
             "backs": [list(self.lease.backs.ballot), self.lease.backs.tick],
             **(self.foreman.line() if self.foreman is not None else {}),
--- a/fieldspur/fleet/words.py
+++ b/fieldspur/fleet/register_codec.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from fieldspur.fleet.agree import Register, Said
+from fieldspur.fleet.consensus import Register, Said
 
 MOST = 1 << 62  # of any number in a register
 
--- a/fieldspur/fleet/store.py
+++ b/fieldspur/fleet/register_store.py
@@ -13,8 +13,8 @@
 import sqlite3
 from pathlib import Path
 
-from fieldspur.fleet import words
-from fieldspur.fleet.agree import Register
+from fieldspur.fleet import register_codec
+from fieldspur.fleet.consensus import Register
 
 log = logging.getLogger("fieldspur.fleet.store")
 FILE = "fleet.sqlite3"
@@ -89,10 +89,10 @@
             return None
         try:
             if row[1] != checksum(self.fleet, self.member, row[0]):
-                raise words.BadWord("sum: another one")
-            kept = words.register(json.loads(row[0]), self.members)
+                raise register_codec.BadWord("sum: another one")
+            kept = register_codec.register(json.loads(row[0]), self.members)
             if kept.member != self.member:
-                raise words.BadWord(f"member: {kept.member}")
+                raise register_codec.BadWord(f"member: {kept.member}")
             return kept
         except ValueError as wrong:
             self.set_aside(str(wrong))
@@ -100,7 +100,7 @@
 
     def keep(self, register: Register) -> None:
         """It is on disk when this comes back; raises NotKept, and then what was kept before still is."""
-        body = json.dumps(words.value(register), separators=(",", ":"))
+        body = json.dumps(register_codec.value(register), separators=(",", ":"))
         try:
             if self.base is None:
                 self.open()
--- a/fieldspur/fleet/talk.py
+++ b/fieldspur/fleet/transport.py
@@ -12,15 +12,15 @@
 import threading
 import time
 
-from fieldspur.fleet import agree, plan, words, work
+from fieldspur.fleet import consensus, planner, register_codec, work_orders
+from fieldspur.fleet.coordinator import Foreman, bare
 from fieldspur.fleet.follower import Follower
-from fieldspur.fleet.foreman import Foreman, bare
-from fieldspur.fleet.node import Node
-from fieldspur.fleet.overlay import Overlay
-from fieldspur.fleet.store import NotKept, NotRead, Store
-from fieldspur.fleet.wishes import wishes_of
-from fieldspur.net.board import Board
-from fieldspur.net.holds import contained, keep_running
+from fieldspur.fleet.list_overlay import Overlay
+from fieldspur.fleet.member import Node
+from fieldspur.fleet.register_store import NotKept, NotRead, Store
+from fieldspur.fleet.work_requests import wishes_of
+from fieldspur.net.discovery import Board
+from fieldspur.net.invariants import contained, keep_running
 from fieldspur.operators import Fleet, member
 from fieldspur.record import replace
 
@@ -83,7 +83,7 @@
             self.last = value.get("rev") if type(value.get("rev")) is int else self.last
             try:
                 self.talk.heard(self.number, value)
-            except words.BadWord as bad:  # a member of another version or fleet does not end the reading
+            except register_codec.BadWord as bad:  # a member of another version or fleet does not end the reading
                 self.unusable += 1
                 if self.unusable in (1, 10, 100, 1000):
                     log.error("unusable", extra={"kv": {"member": self.name, "why": str(bad), "times": self.unusable}})
@@ -112,14 +112,14 @@
             own,
             site.zones[site.fleet["zone"]],
             length,
-            plan.Bounds(bounds.zone, bounds.all, bounds.both, bounds.headroom, bounds.fills_s, bounds.parents, bounds.at_once),
+            planner.Bounds(bounds.zone, bounds.all, bounds.both, bounds.headroom, bounds.fills_s, bounds.parents, bounds.at_once),
             wishes.unsure == "turn_away",
             longest,
             max(site.fleet["cache_cold"][1], site.fleet["parent_cold"][1]),
         )
         self.foreman.wishes, self.foreman.left = wishes_of(wishes.work, "fleet.work"), list(wishes.left)
         if votes:
-            register = agree.resume(kept, nonce) if kept is not None else agree.blank(me, many, nonce)
+            register = consensus.resume(kept, nonce) if kept is not None else consensus.blank(me, many, nonce)
             self.node = Node(wishes.name, register, many, now(), length, seed, kept is None, self.foreman)
             self.foreman.know(register.decided.value)
             kept = register if kept is not None else None  # as this process takes it up: what fails to be kept falls back to it
@@ -130,7 +130,7 @@
         self.kept, self.failed, self.acting, self.life = kept, bool(self.unread), False, kept.life if votes and kept else 0
         self.rev, self.data, self.last = 0, b"", {}
         self.known = threading.Event()  # set once this member knows what is out, or that nobody does
-        self.unsure, self.shown = frozenset(), work.NOTHING  # what may only be used by lease; the document last logged
+        self.unsure, self.shown = frozenset(), work_orders.NOTHING  # what may only be used by lease; the document last logged
         self.quiet_since, self.quiet_told = 0, False  # since when nobody is known to act
         self.applying = threading.Lock()
         self.lock = threading.Lock()  # of the node
@@ -157,17 +157,17 @@
 
     # What was kept.
 
-    def load(self) -> agree.Register | None:
+    def load(self) -> consensus.Register | None:
         """What the store holds. Raises NotRead where that can't be told now, NotKept where it is of another version."""
         kept = self.store.load()
         try:
             for said in (kept.accepted, kept.said, kept.decided) if kept is not None else ():
-                work.read(said.value)
-        except work.BadOrder as wrong:
+                work_orders.read(said.value)
+        except work_orders.BadOrder as wrong:
             raise NotKept(f"what was kept is of another version: {wrong}") from None
         return kept
 
-    def kept_at_start(self) -> agree.Register | None:
+    def kept_at_start(self) -> consensus.Register | None:
         """Guards against a disk that fails at a start, which is no reason not to serve: what was kept is asked for again."""
         if self.store is None:
             return None
@@ -307,7 +307,7 @@
             return self.foreman.in_doubt(now())
         return not self.foreman.listed.holds(now())
 
-    def tell(self, found: work.Work) -> None:
+    def tell(self, found: work_orders.Work) -> None:
         """A line of the log for each order that went a step further."""
         before, self.shown = self.shown, found
         if found is before:
@@ -328,12 +328,12 @@
                         }
                     },
                 )
-            elif one.state == work.FREE and one.note and one.note != was.note:
+            elif one.state == work_orders.FREE and one.note and one.note != was.note:
                 log.warning("work_away", extra={"kv": {"order": one.ident, "machine": one.machine, "why": one.note}})
         for one in found.ended:
             if one.number > before.number:
                 log.log(
-                    logging.ERROR if one.how == work.REFUSED else logging.INFO,
+                    logging.ERROR if one.how == work_orders.REFUSED else logging.INFO,
                     "work_ended",
                     extra={"kv": {"order": one.ident, "machine": one.machine, "how": one.how, "why": one.why or "-"}},
                 )
@@ -371,7 +371,7 @@
         register = (
             self.node.register
             if self.votes
-            else agree.blank(0, len(self.names), self.node.nonce)._replace(life=1, decided=self.node.decided)
+            else consensus.blank(0, len(self.names), self.node.nonce)._replace(life=1, decided=self.node.decided)
         )
         if register == self.kept:
             return
@@ -382,7 +382,7 @@
             self.kept, self.failed = register, False
         except NotKept as wrong:
             if self.votes:
-                self.node.register = self.kept or agree.blank(register.member, len(self.names), register.nonce)
+                self.node.register = self.kept or consensus.blank(register.member, len(self.names), register.nonce)
             if not self.failed:
                 log.error("not_kept", extra={"kv": {"why": str(wrong)}})
             self.failed = True
--- a/fieldspur/fleet/work.py
+++ b/fieldspur/fleet/work_orders.py
@@ -14,7 +14,7 @@
 from functools import lru_cache
 from typing import Any, NamedTuple
 
-from fieldspur.fleet import plan
+from fieldspur.fleet import planner
 
 WAITING, HELD, NEXT, GOING, OUT, FREE, BACK = "waiting", "held", "next", "going", "out", "free", "back"
 STATES = (WAITING, HELD, NEXT, GOING, OUT, FREE, BACK)
@@ -220,13 +220,13 @@
 
     now: int  # Unix ms
     board: dict  # machine: Listing
-    park: plan.Park
+    park: planner.Park
     drain: float  # s that a drain takes, as seen
     warm: float  # s until a cold machine bears its part
     not_told: Callable[[int], list]  # who has not said that it applied that number
     may_use: Callable[[int], list]  # who has not, and may still hold a lease
     open_at: Callable[[str, int], list]  # who may have hops or fills open at that machine, gone in that number
-    plans: Callable[[list, list, plan.Park], plan.Plan]  # `plan.plan`, which may answer as it did a moment ago
+    plans: Callable[[list, list, planner.Park], planner.Plan]  # `plan.plan`, which may answer as it did a moment ago
     bears: Callable[[Order], str]  # what a machine that is back still lacks, '' where it bears its part
 
 
@@ -337,7 +337,7 @@
         rows = group(order, work)
         seen |= {one.ident for one in rows}
         takes = sight.drain + max(one.needs for one in rows) + sight.warm
-        unit = plan.Unit(
+        unit = planner.Unit(
             rows[0].ident,
             frozenset(one.machine for one in rows),
             takes,
@@ -457,5 +457,5 @@
     return work
 
 
-def waits(unit: plan.Unit, out: frozenset, sight: Sight) -> str:
+def waits(unit: planner.Unit, out: frozenset, sight: Sight) -> str:
     return sight.park.forbids(out | unit.machines) or sight.park.forbids(unit.machines) or "its turn comes"
--- a/fieldspur/fleet/wishes.py
+++ b/fieldspur/fleet/work_requests.py
@@ -6,7 +6,7 @@
 import json
 from typing import Any
 
-from fieldspur.fleet.work import MOST_NAME, MOST_ORDERS, BadOrder, Wish, check
+from fieldspur.fleet.work_orders import MOST_NAME, MOST_ORDERS, BadOrder, Wish, check
 
 KEYS = {"machine": str, "needs_s": (int, float), "before": (int, float), "with": list, "id": str, "hold": bool, "back": bool, "drop": bool}
 
--- a/fieldspur/lab/catalog.py
+++ b/fieldspur/lab/catalog.py
@@ -8,7 +8,7 @@
 import random
 from hashlib import blake2b
 
-from fieldspur.bench.plain import RULES
+from fieldspur.bench.sample_settings import RULES
 
 KB_PER_S = 2800.0
 BY_RULE = {row["name"]: row for row in RULES}
--- a/fieldspur/lab/judge/invariants.py
+++ b/fieldspur/lab/checks/invariants.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from fieldspur.lab.judge.check import MS, OWN, SECOND, SLACK, Checker, Hop, Try
+from fieldspur.lab.checks.rule_checker import MS, OWN, SECOND, SLACK, Checker, Hop, Try
 
 NAMES = {1: "final_answer", 2: "effect_once", 3: "drained_server", 4: "slow_start", 5: "purge"}
 MORE = ("one_attempt", "departed_client", "deadline", "ready", "shutdown", "resources", "crash")
--- a/fieldspur/lab/judge/outcomes.py
+++ b/fieldspur/lab/checks/outcomes.py
@@ -9,7 +9,7 @@
 from hdrh.histogram import HdrHistogram
 
 from fieldspur.lab import catalog
-from fieldspur.lab.judge.check import SECOND
+from fieldspur.lab.checks.rule_checker import SECOND
 
 TICK = SECOND // 2  # of the curves
 QUANTILES = ("50", 50), ("99", 99), ("999", 99.9)
--- a/fieldspur/lab/judge/orders.py
+++ b/fieldspur/lab/checks/work_order_checker.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable
 
-from fieldspur.fleet import words, work
-from fieldspur.lab.judge.check import Checker
+from fieldspur.fleet import register_codec, work_orders
+from fieldspur.lab.checks.rule_checker import Checker
 
-TOLD = {work.OUT: "draining", work.FREE: "draining"}
+TOLD = {work_orders.OUT: "draining", work_orders.FREE: "draining"}
 
 
 class Orders:
@@ -20,7 +20,7 @@
 
     def __init__(self, checker: Checker, many: int, open_at: Callable[[str], list], most: int):
         self.checker, self.many, self.open_at, self.most = checker, many, open_at, most
-        self.documents: dict[int, work.Work] = {}
+        self.documents: dict[int, work_orders.Work] = {}
         self.broken: list[str] = []
         self.states: dict[str, str] = {}  # by order
         self.steps: list[tuple[int, str, str, str]] = []  # (when, machine, state, order)
@@ -38,14 +38,14 @@
     def line(self, member: int, value: dict, size: int, now: int) -> None:
         """A line that a member published."""
         self.lines, self.size = self.lines + 1, self.size + size
-        register = words.register(value["register"], self.many)
+        register = register_codec.register(value["register"], self.many)
         self.lives[member] = register.life
         self.ballots[member] = register.promised if register.life else (0, -1)
         holder = register.promised[1]
         kept = sum(ballot == register.promised for ballot in self.ballots.values())
         if holder >= 0 and kept > self.many // 2 and (not self.acting or self.acting[-1][1] != holder):
             self.acting.append((now, holder))
-        found = work.read(register.decided.value)
+        found = work_orders.read(register.decided.value)
         if not found.number:
             return
         known = self.documents.get(found.number)
@@ -56,7 +56,7 @@
         elif known != found:
             self.broke(f"document {found.number} is not the same at member {member}")
 
-    def follow(self, found: work.Work, now: int) -> None:
+    def follow(self, found: work_orders.Work, now: int) -> None:
         for order in found.orders:
             if order.note and self.notes.get(order.ident) != order.note:
                 self.words.append((now, order.machine, order.note))
@@ -66,17 +66,17 @@
             self.states[order.ident] = order.state
             self.steps.append((now, order.machine, order.state, order.ident))
             self.checker.told(order.machine, TOLD.get(order.state, "up"), now)
-            if order.state == work.FREE:
+            if order.state == work_orders.FREE:
                 if still := self.open_at(order.machine):
                     self.broke(f"{order.machine} was said to be free with {len(still)} open there, {still[0]}")
                 self.on_free(order)
         for ended in found.ended:
-            if self.states.get(ended.ident) not in (work.DONE, work.DROPPED, work.REFUSED):
+            if self.states.get(ended.ident) not in (work_orders.DONE, work_orders.DROPPED, work_orders.REFUSED):
                 self.states[ended.ident] = ended.how
                 self.steps.append((now, ended.machine, ended.how, ended.ident))
-                if ended.how != work.REFUSED:
+                if ended.how != work_orders.REFUSED:
                     self.checker.told(ended.machine, "up", now)
-        away = found.machines(work.AWAY)
+        away = found.machines(work_orders.AWAY)
         if len(away) > self.most:
             self.broke(f"{len(away)} machines away, {self.most} allowed: {', '.join(sorted(away))}")
 
--- a/fieldspur/lab/emulate/proxy.py
+++ b/fieldspur/lab/emulate/fault_proxy.py
@@ -9,8 +9,8 @@
 from collections import deque
 
 from fieldspur.bench.path import free_port
-from fieldspur.lab.emulate import queues
-from fieldspur.lab.emulate.loop import Conn, Loop
+from fieldspur.lab.emulate import socket_queues
+from fieldspur.lab.emulate.event_loop import Conn, Loop
 
 MOST_UNSENT = 65_536  # bytes that wait for the other side before no more is read
 LOOK_ROOM = 10_000_000  # ns between looks whether there is room again
@@ -87,7 +87,7 @@
             return
         if len(to.out) > MOST_UNSENT:
             if source is self.router:
-                queues.look([source])  # the router may hand over more meanwhile
+                socket_queues.look([source])  # the router may hand over more meanwhile
             return self.proxy.loop.later(LOOK_ROOM, lambda: self.room(to, source))
         source.pause(False)
 
--- a/fieldspur/lab/emulate/faults.py
+++ b/fieldspur/lab/emulate/faults.py
@@ -4,7 +4,7 @@
 
 import random
 
-from fieldspur.lab.emulate.model import MS, SECOND
+from fieldspur.lab.emulate.server_model import MS, SECOND
 
 GONE_EVERYWHERE = 10 * SECOND  # by then all servers have dropped what a purge names, as the settings say
 BACK_AFTER = 300 * MS  # a process that restarts listens again after that
--- a/fieldspur/lab/emulate/relay.py
+++ b/fieldspur/lab/emulate/peer_links.py
@@ -5,7 +5,7 @@
 import random
 from collections import deque
 
-from fieldspur.lab.emulate.loop import Conn, Loop
+from fieldspur.lab.emulate.event_loop import Conn, Loop
 
 MOST_QUEUED = 8 << 20  # bytes that a stalled link keeps
 
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -7,13 +7,13 @@
 from collections import deque
 from collections.abc import Callable
 
-from fieldspur.bench.plain import endpoint
+from fieldspur.bench.sample_settings import endpoint
 from fieldspur.lab import catalog
-from fieldspur.lab.emulate import queues, wire
+from fieldspur.lab.checks.rule_checker import Checker, Hop
+from fieldspur.lab.emulate import socket_queues, wire
+from fieldspur.lab.emulate.event_loop import Conn, Loop
 from fieldspur.lab.emulate.faults import Faults
-from fieldspur.lab.emulate.loop import Conn, Loop
-from fieldspur.lab.emulate.model import MS, SECOND, Asked, Server, Store
-from fieldspur.lab.judge.check import Checker, Hop
+from fieldspur.lab.emulate.server_model import MS, SECOND, Asked, Server, Store
 
 LINE_EVERY = SECOND  # the board's last number
 LOOK_QUEUES = 10 * MS  # at what is written to a server that reads nothing
@@ -150,7 +150,7 @@
     def look(self) -> None:
         """While it reads nothing, when what was handed to the system is seen in the system's own tables."""
         if self.model.silent:
-            queues.look([conn for conn in self.conns if conn.paused])
+            socket_queues.look([conn for conn in self.conns if conn.paused])
             self.world.loop.later(LOOK_QUEUES, self.look)
 
 
--- a/fieldspur/lab/plays/rig.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -9,13 +9,13 @@
 import signal
 
 from fieldspur.bench.path import free_port
-from fieldspur.fleet import plan as planner
-from fieldspur.fleet.foreman import DRAIN
+from fieldspur.fleet import planner
+from fieldspur.fleet.coordinator import DRAIN
+from fieldspur.lab.checks.work_order_checker import Orders
 from fieldspur.lab.emulate.faults import BACK_AFTER
-from fieldspur.lab.emulate.model import MS, SECOND
-from fieldspur.lab.emulate.relay import Relay
-from fieldspur.lab.judge.orders import Orders
-from fieldspur.lab.plays.play import Node, Play
+from fieldspur.lab.emulate.peer_links import Relay
+from fieldspur.lab.emulate.server_model import MS, SECOND
+from fieldspur.lab.runs.scenario_run import Node, Play
 
 HOST = "127.%d.%d.3" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # else a link may connect to itself
 FOUND_WAIT = 15 * SECOND
--- a/fieldspur/lab/plays/load.py
+++ b/fieldspur/lab/runs/load_generator.py
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 
 from fieldspur.lab import catalog
+from fieldspur.lab.checks.outcomes import Outcomes, Txn
+from fieldspur.lab.checks.rule_checker import MS, SECOND, Checker, Try
 from fieldspur.lab.emulate import wire
-from fieldspur.lab.emulate.loop import Loop
-from fieldspur.lab.judge.check import MS, SECOND, Checker, Try
-from fieldspur.lab.judge.outcomes import Outcomes, Txn
+from fieldspur.lab.emulate.event_loop import Loop
 
 MOST_OPEN = 30  # txns on one connection, below the protocol's 32
 AWAY = 300 * MS  # a router that could not be reached is asked again after that
--- a/fieldspur/lab/plays/play.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -13,13 +13,13 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from fieldspur.bench import plain
+from fieldspur.bench import sample_settings
 from fieldspur.bench.path import ROOT, free_port, usage
 from fieldspur.bench.start import ready
-from fieldspur.lab.emulate.loop import Loop
+from fieldspur.lab.checks.rule_checker import SECOND, Checker
+from fieldspur.lab.emulate.event_loop import Loop
 from fieldspur.lab.emulate.servers import Board, World
-from fieldspur.lab.judge.check import SECOND, Checker
-from fieldspur.lab.plays.load import Load
+from fieldspur.lab.runs.load_generator import Load
 from fieldspur.lab.soak import shim
 from fieldspur.operators import BadFile
 
@@ -57,7 +57,7 @@
 
     def write(self, board: Board) -> None:
         plan, servers = self.world.plan, self.world.plan.servers
-        conf = plain.node_file(
+        conf = sample_settings.node_file(
             self.address[1],
             self.board_port(board),
             [],
@@ -422,5 +422,5 @@
     """Figures of one run; `passed` is false where a rule or an expectation broke. Raises LabFailed."""
     kind = Play
     if plan.fleet is not None:
-        from fieldspur.lab.plays.rig import Rig as kind
+        from fieldspur.lab.runs.fleet_run import Rig as kind
     return kind(plan, build, logs, command, live).run()
--- a/fieldspur/lab/plays/far.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from fieldspur.bench import plain
+from fieldspur.bench import sample_settings
 from fieldspur.host import (
     FILLED,
     FILLED_BY_ORIGIN,
@@ -26,12 +26,12 @@
     SOURCE_REFUSED,
 )
 from fieldspur.lab import catalog
+from fieldspur.lab.checks.outcomes import Outcomes, Txn
+from fieldspur.lab.checks.rule_checker import MS, SECOND, Checker, Try
 from fieldspur.lab.emulate.faults import Faults
-from fieldspur.lab.emulate.model import Asked, Server, Store
-from fieldspur.lab.judge.check import MS, SECOND, Checker, Try
-from fieldspur.lab.judge.outcomes import Outcomes, Txn
-from fieldspur.lab.plays.play import missed, recoveries
-from fieldspur.lab.plays.scenario import Far
+from fieldspur.lab.emulate.server_model import Asked, Server, Store
+from fieldspur.lab.runs.scenario import Far
+from fieldspur.lab.runs.scenario_run import missed, recoveries
 from fieldspur.operators import BadFile
 from fieldspur.site import build_router, deployment
 
@@ -224,13 +224,13 @@
         for number in range(size.routers):
             zone = number % size.zones
             here = len(range(zone, size.routers, size.zones))
-            conf = plain.settings(zone=zone, zones=zones, routers=here, everywhere=everywhere)
+            conf = sample_settings.settings(zone=zone, zones=zones, routers=here, everywhere=everywhere)
             conf["guarantees"] |= dict(coldFrom=rows.cold_share, rampTimeUs=int(rows.ramp_s * 1e6), fallMultiple=rows.fall_multiple)
             conf["familyInfo"] |= dict(
                 upperColdFrom=rows.cold_share, parentRampUs=int(rows.ramp_s * 1e6), upperFallMultiple=rows.fall_multiple
             )
             self.hosts.append(RouterHost(self, number, zone, deployment(conf)))
-        self.rule_at = {row["name"]: at for at, row in enumerate(plain.RULES)}
+        self.rule_at = {row["name"]: at for at, row in enumerate(sample_settings.RULES)}
         for host in self.hosts:
             self.list_to(host, ["store", *self.parents, *self.zones[host.zone]], True)
         self.middle = {row.rule: row.kb for row in plan.load.classes}
--- a/fieldspur/lab/soak/clients.py
+++ b/fieldspur/lab/soak/clients.py
@@ -4,10 +4,10 @@
 
 import random
 
-from fieldspur.lab.emulate.model import MS, SECOND
-from fieldspur.lab.judge.invariants import LOST_AFTER
-from fieldspur.lab.judge.outcomes import Txn
-from fieldspur.lab.plays.load import Line, Load
+from fieldspur.lab.checks.invariants import LOST_AFTER
+from fieldspur.lab.checks.outcomes import Txn
+from fieldspur.lab.emulate.server_model import MS, SECOND
+from fieldspur.lab.runs.load_generator import Line, Load
 
 CLIENT_IDLE = 4 * SECOND  # clients close a connection without a request after that
 MOST_GOING_ON = 8  # open requests on a connection that a client uses on and on
--- a/fieldspur/lab/soak/node.py
+++ b/fieldspur/lab/soak/node.py
@@ -7,9 +7,9 @@
 import time
 
 from fieldspur.bench.path import free_port
-from fieldspur.lab.emulate.relay import Relay
+from fieldspur.lab.emulate.peer_links import Relay
 from fieldspur.lab.emulate.servers import Board
-from fieldspur.lab.plays.play import Node
+from fieldspur.lab.runs.scenario_run import Node
 
 HOST = "127.%d.%d.4" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # soaks beside this one have theirs
 IDLE_CLOSE_US = 5_000_000  # of connections to servers, so that they end within a run
--- a/fieldspur/lab/soak/plan.py
+++ b/fieldspur/lab/soak/plan.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from fieldspur.lab.plays.scenario import Class, Fault, Load, Scenario, Servers
+from fieldspur.lab.runs.scenario import Class, Fault, Load, Scenario, Servers
 
 FIRST_AT, WINDOW_S, QUIET_S = 4.0, 5.0, 4.0  # s: the first troubles; how long a window of them is; none at the end
 KINDS = 8  # of trouble in one seed, drawn from all; few, so that the same ones meet in several ways
--- a/fieldspur/lab/soak/play.py
+++ b/fieldspur/lab/soak/play.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from fieldspur.bench.plain import RULES
+from fieldspur.bench.sample_settings import RULES
+from fieldspur.lab.checks.invariants import Invariants
 from fieldspur.lab.emulate import wire
-from fieldspur.lab.emulate.loop import Conn
-from fieldspur.lab.emulate.model import MS, SECOND
-from fieldspur.lab.judge.invariants import Invariants
-from fieldspur.lab.plays.play import LabFailed, Play
+from fieldspur.lab.emulate.event_loop import Conn
+from fieldspur.lab.emulate.server_model import MS, SECOND
+from fieldspur.lab.runs.scenario_run import LabFailed, Play
 from fieldspur.lab.soak import plan as planning
 from fieldspur.lab.soak.clients import SoakLoad
 from fieldspur.lab.soak.node import AFTER, BEFORE, SoakNode
--- a/fieldspur/lab/soak/world.py
+++ b/fieldspur/lab/soak/world.py
@@ -6,10 +6,10 @@
 import random
 
 from fieldspur.bench.path import free_port
-from fieldspur.bench.plain import endpoint
-from fieldspur.lab.emulate.loop import Conn
-from fieldspur.lab.emulate.model import MS, SECOND
-from fieldspur.lab.emulate.proxy import Proxy
+from fieldspur.bench.sample_settings import endpoint
+from fieldspur.lab.emulate.event_loop import Conn
+from fieldspur.lab.emulate.fault_proxy import Proxy
+from fieldspur.lab.emulate.server_model import MS, SECOND
 from fieldspur.lab.emulate.servers import Front, World
 
 CRASH_SPREAD, REMOVAL_SPREAD = 10 * MS, 60 * MS
--- a/fieldspur/net/admit.py
+++ b/fieldspur/net/admission.py
@@ -4,11 +4,11 @@
 
 import logging
 
-from fieldspur.net.book import Answer, Book, Txn
+from fieldspur.net.client_writer import Outlet
 from fieldspur.net.frames import Request, Unusable
 from fieldspur.net.logs import ReasonCounter
-from fieldspur.net.relay import Outlet
-from fieldspur.net.wheel import NEVER
+from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import Refusal, take_refusal
 from fieldspur.site import MS, Deployment
 
--- a/fieldspur/net/arrival.py
+++ b/fieldspur/net/arrival_times.py
@@ -11,9 +11,9 @@
 import socket
 import threading
 
-from fieldspur.net.now import lay_for
-from fieldspur.net.relay import Relay
-from fieldspur.net.wheel import NEVER
+from fieldspur.net.client_writer import Relay
+from fieldspur.net.nonblocking import lay_for
+from fieldspur.net.timer_wheel import NEVER
 from fieldspur.site import MS
 
 LATE_READ = 50 * MS  # since the read before: what is read now may have lain there for as long
--- a/fieldspur/net/takein.py
+++ b/fieldspur/net/client_listener.py
@@ -9,14 +9,14 @@
 import time
 
 from fieldspur.net import frames
-from fieldspur.net.admit import Admit
-from fieldspur.net.arrival import LATE_READ, READS_BETWEEN_LOOKS, Arrivals
-from fieldspur.net.book import Answer, Book
-from fieldspur.net.holds import asked_again, contained
+from fieldspur.net.admission import Admit
+from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, Arrivals
+from fieldspur.net.client_writer import TICK, Outlet, Relay
+from fieldspur.net.invariants import asked_again, contained
 from fieldspur.net.logs import ReasonCounter
-from fieldspur.net.now import AWAY, EPOCH, came, looks_at
-from fieldspur.net.relay import TICK, Outlet, Relay
-from fieldspur.net.wheel import NEVER
+from fieldspur.net.nonblocking import AWAY, EPOCH, came, looks_at
+from fieldspur.net.open_txns import Answer, Book
+from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import Accepting, ClientState, CloseReason, close_reason, may_cut
 from fieldspur.site import MS
 
--- a/fieldspur/net/relay.py
+++ b/fieldspur/net/client_writer.py
@@ -8,10 +8,10 @@
 import time
 from collections import deque
 
-from fieldspur.net.book import Answer, Txn
-from fieldspur.net.holds import contained
-from fieldspur.net.now import AWAY, EPOCH, came, looks_at, write_now
-from fieldspur.net.wheel import NEVER
+from fieldspur.net.invariants import contained
+from fieldspur.net.nonblocking import AWAY, EPOCH, came, looks_at, write_now
+from fieldspur.net.open_txns import Answer, Txn
+from fieldspur.net.timer_wheel import NEVER
 from fieldspur.record import record
 from fieldspur.site import MS
 
--- a/fieldspur/net/send.py
+++ b/fieldspur/net/connection_pool.py
@@ -8,12 +8,12 @@
 
 from fieldspur.decide import LANES
 from fieldspur.net import resp
-from fieldspur.net.book import Answer, Book
-from fieldspur.net.holds import holds
-from fieldspur.net.lane import ConnectionEnd, Hop, Lane
+from fieldspur.net.client_writer import LEFT, UNREAD, Relay
+from fieldspur.net.invariants import holds
 from fieldspur.net.logs import ReasonCounter
-from fieldspur.net.now import EPOCH
-from fieldspur.net.relay import LEFT, UNREAD, Relay
+from fieldspur.net.nonblocking import EPOCH
+from fieldspur.net.open_txns import Answer, Book
+from fieldspur.net.server_connection import ConnectionEnd, Hop, Lane
 from fieldspur.permissions import AttemptRules, Refusal
 from fieldspur.site import MS, Deployment
 
--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -5,7 +5,7 @@
 import re
 import struct
 
-from fieldspur.net.window import Window
+from fieldspur.net.receive_buffer import Window
 from fieldspur.record import record
 
 REQUEST, ANSWER, GONE, ASK_READY, READY, NO_MORE = 65, 66, 67, 80, 81, 90
--- a/fieldspur/net/book.py
+++ b/fieldspur/net/open_txns.py
@@ -5,7 +5,7 @@
 import itertools
 import threading
 
-from fieldspur.net.holds import holds
+from fieldspur.net.invariants import holds
 from fieldspur.record import record
 
 MOST_NAMES = 4096
--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -4,7 +4,7 @@
 
 import re
 
-from fieldspur.net.window import Window
+from fieldspur.net.receive_buffer import Window
 from fieldspur.record import record
 from fieldspur.site import LOADS, MS
 
--- a/fieldspur/net/route.py
+++ b/fieldspur/net/router_host.py
@@ -11,14 +11,14 @@
 
 from fieldspur.host import RESULTS
 from fieldspur.net import resp
-from fieldspur.net.board import ListChange, Purge
-from fieldspur.net.book import Answer, Book, Txn
-from fieldspur.net.holds import contained, holds
-from fieldspur.net.lane import Hop
-from fieldspur.net.now import EPOCH, latest_time_of
-from fieldspur.net.relay import Relay
-from fieldspur.net.send import Send
-from fieldspur.net.wheel import NEVER, Wheel
+from fieldspur.net.client_writer import Relay
+from fieldspur.net.connection_pool import Send
+from fieldspur.net.discovery import ListChange, Purge
+from fieldspur.net.invariants import contained, holds
+from fieldspur.net.nonblocking import EPOCH, latest_time_of
+from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.server_connection import Hop
+from fieldspur.net.timer_wheel import NEVER, Wheel
 from fieldspur.permissions import Gate, GiveUp
 from fieldspur.site import MS, Deployment, build_router
 
--- a/fieldspur/net/lane.py
+++ b/fieldspur/net/server_connection.py
@@ -12,16 +12,16 @@
 from enum import Enum
 
 from fieldspur.net import resp
-from fieldspur.net.holds import contained
-from fieldspur.net.now import AWAY, EPOCH, looks_at, write_now
-from fieldspur.net.wheel import NEVER
+from fieldspur.net.invariants import contained
+from fieldspur.net.nonblocking import AWAY, EPOCH, looks_at, write_now
+from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import may_dial_again, speaks_against_server
 from fieldspur.record import record
 from fieldspur.site import MS, US
 
 TYPE_CHECKING = False  # as typing has it, which a start does not load
 if TYPE_CHECKING:
-    from fieldspur.net.send import Send
+    from fieldspur.net.connection_pool import Send
 
 log = logging.getLogger("fieldspur.send")
 MOST_AT_ONCE, JOIN = 16, 4096  # messages in one write; longer buffers are not joined with others
--- a/fieldspur/operators.py
+++ b/fieldspur/operators.py
@@ -174,7 +174,7 @@
     for n, name in enumerate(value.left):
         if name in (value.votes or value.members):
             raise BadFile(f"{path}.left[{n}]: {name} votes")
-    from fieldspur.fleet.wishes import BadOrder, wishes_of  # only where there is a fleet
+    from fieldspur.fleet.work_requests import BadOrder, wishes_of  # only where there is a fleet
 
     try:
         wishes_of(value.work, f"{path}.work")
--- a/fieldspur/drill/__main__.py
+++ b/fieldspur/simulator/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from fieldspur.drill.codec import BadInput, serve
+from fieldspur.simulator.codec import BadInput, serve
 
 try:
     serve(sys.stdin.buffer, sys.stdout)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 import known_red
 import pytest
 from helpers import Service
-from routers import Routers
+from router_processes import Routers
 
 KNOWN_RED = known_red.listed()
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,11 +15,11 @@
 from fieldspur.bench.path import ROOT
 from fieldspur.decide import MS, SECOND, Collapsing, Fleet, Purges, Router
 from fieldspur.host import HIT, JOINED, NEVER_RAN, PAST_FRESH, RemapRule
-from fieldspur.net.book import Book
-from fieldspur.net.lane import Lane
-from fieldspur.net.now import EPOCH
-from fieldspur.net.relay import Relay
-from fieldspur.net.send import Send
+from fieldspur.net.client_writer import Relay
+from fieldspur.net.connection_pool import Send
+from fieldspur.net.nonblocking import EPOCH
+from fieldspur.net.open_txns import Book
+from fieldspur.net.server_connection import Lane
 from fieldspur.site import deployment
 
 COLD, RAMP, MULTIPLE, SPAN = 0.2, 10 * SECOND, 2.0, SECOND
--- a/tests/routers.py
+++ b/tests/router_processes.py
@@ -9,7 +9,7 @@
 from helpers import Cache, Link, Notices, Service, SettableClock, settings, until
 
 from fieldspur.bench.path import free_port
-from fieldspur.fleet import words, work
+from fieldspur.fleet import register_codec, work_orders
 from fieldspur.lab.soak import shim
 
 HOST = "127.%d.%d.2" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # else a link may connect to itself
@@ -89,7 +89,7 @@
 
     def orders(self, n):
         """The document on work that this member goes by: its number, orders by machine, how others ended."""
-        found = work.read(words.frozen((self.said(n) or {"register": {"decided": [0, None]}})["register"]["decided"][1]))
+        found = work_orders.read(register_codec.frozen((self.said(n) or {"register": {"decided": [0, None]}})["register"]["decided"][1]))
         return found.number, {one.machine: one for one in found.orders}, {one.machine: one for one in found.ended}
 
     def state(self, n, machine):
--- a/tests/yard.py
+++ b/tests/simulated_fleet.py
@@ -3,10 +3,10 @@
 import json
 import random
 
-from fieldspur.fleet import agree, plan, work
+from fieldspur.fleet import consensus, planner, work_orders
+from fieldspur.fleet.coordinator import Foreman
 from fieldspur.fleet.follower import Follower
-from fieldspur.fleet.foreman import Foreman
-from fieldspur.fleet.node import Node
+from fieldspur.fleet.member import Node
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LENGTH = 1500 * MS
@@ -55,7 +55,7 @@
         nonce = self.random.randrange(1, 1 << 40)
         if n >= self.settle:
             return Follower("valley", f"r{n}", nonce, self.settle, self.now, LENGTH, self.foreman(n))
-        return Node("valley", agree.blank(n, self.settle, nonce), self.settle, self.now, LENGTH, nonce, True, self.foreman(n))
+        return Node("valley", consensus.blank(n, self.settle, nonce), self.settle, self.now, LENGTH, nonce, True, self.foreman(n))
 
     def foreman(self, n):
         return Entries()
@@ -108,9 +108,11 @@
     """Routers that use machines by what they know, and may see hops of theirs last as long as a txn may. Each step holds them to
     what is promised: nothing new to a machine 250 ms after it was out, no `free` with anything open, the bounds, one order."""
 
-    def __init__(self, members, seed, machines=6, bounds=plan.Bounds(zone=0.5, all=0.5, both=1.0), strict=False, planted=None, followers=0):
+    def __init__(
+        self, members, seed, machines=6, bounds=planner.Bounds(zone=0.5, all=0.5, both=1.0), strict=False, planted=None, followers=0
+    ):
         self.bounds, self.strict, self.planted = bounds, strict, planted or (lambda foreman: None)
-        self.listings = {f"c{m}": work.Listing("up", 0, f"h:{m}", "east", "cache", 10.0) for m in range(machines)}
+        self.listings = {f"c{m}": work_orders.Listing("up", 0, f"h:{m}", "east", "cache", 10.0) for m in range(machines)}
         self.wished = {n: [] for n in range(members)}
         self.hops = {n: [] for n in range(members)}  # (machine, began, ends)
         self.numbers, self.outs, self.frees, self.most_out = {}, {}, [], 0
@@ -124,7 +126,7 @@
         return made
 
     def ask(self, n, machine, **more):
-        wish = work.Wish(more.pop("ident", f"w-{machine}"), machine, more.pop("needs", 1.0))._replace(**more)
+        wish = work_orders.Wish(more.pop("ident", f"w-{machine}"), machine, more.pop("needs", 1.0))._replace(**more)
         self.wished[n][:] = [one for one in self.wished[n] if one.ident != wish.ident] + [wish]
 
     def start(self, n):
@@ -153,10 +155,10 @@
     def cold(self, foreman, machine, now):
         return any(
             one.machine == machine
-            and one.state == work.BACK
+            and one.state == work_orders.BACK
             and one.at not in self.numbers
             or one.machine == machine
-            and one.state == work.BACK
+            and one.state == work_orders.BACK
             and now - self.numbers[one.at][1] < WARM
             for one in foreman.work.orders
         )
@@ -192,9 +194,9 @@
     def decided_first(self, found):
         """The first moment at which anybody knew of that document."""
         for one in found.orders:
-            if one.state == work.OUT and one.at == found.number:
+            if one.state == work_orders.OUT and one.at == found.number:
                 self.outs[one.machine] = self.now
-            if one.state == work.FREE and one.at == found.number:
+            if one.state == work_orders.FREE and one.at == found.number:
                 self.frees.append(one.machine)
                 users = [
                     n
@@ -207,9 +209,9 @@
                     self.wrong.append(f"{one.machine} free, r{users[0]} has something open there")
                 self.restarts.append((self.now + int(one.needs * SECOND), one.machine))
         for machine in list(self.outs):
-            if machine not in found.machines(work.KEPT_OFF):
+            if machine not in found.machines(work_orders.KEPT_OFF):
                 del self.outs[machine]
-        away = found.machines(work.AWAY)
+        away = found.machines(work_orders.AWAY)
         self.most_out = max(self.most_out, len(away))
         if len(away) > self.bounds.zone * len(self.listings) or len(away) > self.bounds.at_once:
             self.wrong.append(f"{len(away)} machines away")
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -11,9 +11,9 @@
 import pytest
 
 from fieldspur.decide import MS
-from fieldspur.net import arrival
-from fieldspur.net.arrival import READS_BETWEEN_LOOKS, Arrivals, core_wait
-from fieldspur.net.relay import TICK_LATE, Relay
+from fieldspur.net import arrival_times
+from fieldspur.net.arrival_times import READS_BETWEEN_LOOKS, Arrivals, core_wait
+from fieldspur.net.client_writer import TICK_LATE, Relay
 
 
 @pytest.fixture
@@ -25,8 +25,8 @@
         seen.looks += 1
         return seen.waited
 
-    monkeypatch.setattr(arrival, "core_wait", looked)
-    monkeypatch.setattr(arrival, "lay_for", lambda sock: seen.lay)
+    monkeypatch.setattr(arrival_times, "core_wait", looked)
+    monkeypatch.setattr(arrival_times, "lay_for", lambda sock: seen.lay)
     relay = Relay(1 << 20)
     found = Arrivals(socket.socket(), relay)
     found.read(10_000 * MS, False)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from fieldspur.net import frames, resp
+from fieldspur.net.client_listener import Used
 from fieldspur.net.logs import MOST_A_SECOND, Flood, KeyValue, word
-from fieldspur.net.takein import Used
 from fieldspur.site import BadSite, deployment, read_node
 
 HEXES = st.text("0123456789abcdef", min_size=16, max_size=16)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -7,8 +7,8 @@
 from helpers import Cache, Client, until
 
 from fieldspur.bench.path import ROOT
-from fieldspur.net import holds
-from fieldspur.net.holds import keep_running
+from fieldspur.net import invariants
+from fieldspur.net.invariants import keep_running
 
 PLANT = """
 import itertools
@@ -22,14 +22,14 @@
 """
 # What fails: module and class, method, its arguments, each how many calls; and where it is to be contained.
 PLANTED = {
-    "a connection is looked for": (("send", "Send", "lane_for", "self, hop", 2), "event"),
-    "an attempt's end is decided on": (("route", "Route", "hop_ended", "self, *about", 3), "event"),
-    "a request is decided on": (("route", "Route", "arrived", "self, txn", 3), "event"),
-    "an attempt is handed over": (("route", "Route", "go", "self, hop", 3), "event"),
-    "a request is read": (("admit", "Admit", "request", "self, *about", 5), "client"),
-    "answers of a server are read": (("lane", "Lane", "replies", "self, *about", 5), "connection"),
-    "an attempt is looked at before its write": (("send", "Send", "begin", "self, hop", 5), "write"),
-    "the clients' list is looked through": (("takein", "TakeIn", "look", "self, now", 2), "watch"),
+    "a connection is looked for": (("connection_pool", "Send", "lane_for", "self, hop", 2), "event"),
+    "an attempt's end is decided on": (("router_host", "Route", "hop_ended", "self, *about", 3), "event"),
+    "a request is decided on": (("router_host", "Route", "arrived", "self, txn", 3), "event"),
+    "an attempt is handed over": (("router_host", "Route", "go", "self, hop", 3), "event"),
+    "a request is read": (("admission", "Admit", "request", "self, *about", 5), "client"),
+    "answers of a server are read": (("server_connection", "Lane", "replies", "self, *about", 5), "connection"),
+    "an attempt is looked at before its write": (("connection_pool", "Send", "begin", "self, hop", 5), "write"),
+    "the clients' list is looked through": (("client_listener", "TakeIn", "look", "self, now", 2), "watch"),
 }
 
 
@@ -65,7 +65,7 @@
 
 
 def test_work_that_the_program_needs_goes_on_after_an_error_and_ends_the_program_where_it_never_does(monkeypatch):
-    monkeypatch.setattr(holds, "RUN_AGAIN_S", 0.0)
+    monkeypatch.setattr(invariants, "RUN_AGAIN_S", 0.0)
     calls = []
 
     def fails_twice():
@@ -83,4 +83,4 @@
 
     with pytest.raises(ValueError):
         keep_running("test", fails)
-    assert len(calls) == holds.MOST_IN_A_ROW
+    assert len(calls) == invariants.MOST_IN_A_ROW
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -29,12 +29,12 @@
 
 from fieldspur.decide import MS, SECOND
 from fieldspur.net import resp
-from fieldspur.net.book import Answer, Book, Txn
-from fieldspur.net.lane import Hop, Lane
-from fieldspur.net.now import looks_at
-from fieldspur.net.relay import LEFT, UNREAD, Outlet, Relay
-from fieldspur.net.send import LOOK_CLIENT
-from fieldspur.net.takein import TakeIn, encode
+from fieldspur.net.client_listener import TakeIn, encode
+from fieldspur.net.client_writer import LEFT, UNREAD, Outlet, Relay
+from fieldspur.net.connection_pool import LOOK_CLIENT
+from fieldspur.net.nonblocking import looks_at
+from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.server_connection import Hop, Lane
 
 ACK = ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"bytes")
 
@@ -602,7 +602,7 @@
 def dial(monkeypatch):
     come = threading.Event()
     monkeypatch.setattr(Dialled, "come", come)
-    monkeypatch.setattr("fieldspur.net.lane.socket", SimpleNamespace(**vars(socket) | {"socket": Dialled}))
+    monkeypatch.setattr("fieldspur.net.server_connection.socket", SimpleNamespace(**vars(socket) | {"socket": Dialled}))
     yield come
     come.set()
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -19,13 +19,13 @@
 from fieldspur.__main__ import files_of
 from fieldspur.decide import MS, SECOND
 from fieldspur.lab.soak import shim
-from fieldspur.net import board as board_module
-from fieldspur.net import lane as lane_module
-from fieldspur.net.board import Board, ListChange
-from fieldspur.net.book import Answer, Book
-from fieldspur.net.now import looks_at
-from fieldspur.net.relay import Relay
-from fieldspur.net.takein import Client as ClientSide
+from fieldspur.net import discovery as board_module
+from fieldspur.net import server_connection as lane_module
+from fieldspur.net.client_listener import Client as ClientSide
+from fieldspur.net.client_writer import Relay
+from fieldspur.net.discovery import Board, ListChange
+from fieldspur.net.nonblocking import looks_at
+from fieldspur.net.open_txns import Answer, Book
 from fieldspur.record import replace
 
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -11,10 +11,10 @@
 from test_path import go, want
 
 from fieldspur.net import resp
-from fieldspur.net.board import Board, ListChange, Listed
-from fieldspur.net.lane import Hop
-from fieldspur.net.now import looks_at
-from fieldspur.net.route import MOST_QUEUED, Route
+from fieldspur.net.discovery import Board, ListChange, Listed
+from fieldspur.net.nonblocking import looks_at
+from fieldspur.net.router_host import MOST_QUEUED, Route
+from fieldspur.net.server_connection import Hop
 from fieldspur.permissions import Gate
 from fieldspur.site import MS
 
@@ -261,7 +261,7 @@
         one.want.body = b"x" * (500 - sum(map(len, resp.want(one.want))))
     sizes = [sum(map(len, resp.want(one.want))) for one in hops]
     takes = iter([taken])  # and nothing of what is left
-    monkeypatch.setattr("fieldspur.net.lane.write_now", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
+    monkeypatch.setattr("fieldspur.net.server_connection.write_now", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
     lane.draining = True  # nobody else pumps
     for one in hops:
         send.hop(one)
@@ -334,7 +334,7 @@
 
 @pytest.mark.parametrize("what", ["list", "purge"])
 def test_word_of_the_board_binds_writes_at_once_however_many_events_wait_ahead_of_it(what):
-    from fieldspur.net.board import Purge
+    from fieldspur.net.discovery import Purge
 
     cache = Cache(lambda w: None)
     send, route = route_to(cache)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,19 +4,19 @@
 
 import pytest
 
-from fieldspur.fleet import agree
-from fieldspur.fleet.agree import NO_MARK, blank
+from fieldspur.fleet import consensus
+from fieldspur.fleet.consensus import NO_MARK, blank
 
 
 def founded(members=3):
     """Registers just after an operator founded a fleet, and views in which each has read all."""
     state = [blank(n, members, n + 1) for n in range(members)]
     for _ in range(4):
-        state = [agree.step(one, state) for one in state]
+        state = [consensus.step(one, state) for one in state]
         if state[0].founding == ():
-            state[0] = agree.found(state[0], state)
+            state[0] = consensus.found(state[0], state)
     assert all(one.life == 1 for one in state)
-    state = [agree.step(one, state) for one in state]
+    state = [consensus.step(one, state) for one in state]
     return tuple(state), tuple(tuple(state) for _ in state)
 
 
@@ -44,10 +44,10 @@
         for m in range(members):
             if m != n and views[n][m] != state[m]:  # reads what stands there now; what lay between was lost
                 mine = views[n][:m] + (state[m],) + views[n][m + 1 :]
-                yield taken(state, views, n, agree.step(me, mine), mine, asks_left, crashes_left, nonce, decided, follow)
+                yield taken(state, views, n, consensus.step(me, mine), mine, asks_left, crashes_left, nonce, decided, follow)
         if asks_left[n] and me.life:
             left = asks_left[:n] + (asks_left[n] - 1,) + asks_left[n + 1 :]
-            yield taken(state, views, n, agree.ask(me), views[n], left, crashes_left, nonce, decided, follow)
+            yield taken(state, views, n, consensus.ask(me), views[n], left, crashes_left, nonce, decided, follow)
         if crashes_left:
             new = blank(n, members, nonce)
             sees = (None,) * n + (new,) + (None,) * (members - n - 1)
@@ -64,9 +64,9 @@
 def taken(state, views, n, me, mine, asks_left, crashes_left, nonce, decided, follow):
     mine = mine[:n] + (me,) + mine[n + 1 :]
     for _ in range(2):  # a word of its own may be decided by itself with what it sees
-        me = agree.propose(me, mine, lambda value: (n,) if value is None else value + (n,) if len(value) <= follow else None)
+        me = consensus.propose(me, mine, lambda value: (n,) if value is None else value + (n,) if len(value) <= follow else None)
         mine = mine[:n] + (me,) + mine[n + 1 :]
-        me = agree.step(me, mine)
+        me = consensus.step(me, mine)
         mine = mine[:n] + (me,) + mine[n + 1 :]
     if me.decided.mark != NO_MARK:
         value = me.decided.value
@@ -101,12 +101,12 @@
     def reads(self, n, *others):
         for m in others:
             self.views[n][m] = self.state[m]
-            self.take(n, agree.step(self.state[n], self.views[n]))
-            self.take(n, agree.propose(self.state[n], self.views[n], lambda value: f"of {n}" if value is None else None))
-            self.take(n, agree.step(self.state[n], self.views[n]))
+            self.take(n, consensus.step(self.state[n], self.views[n]))
+            self.take(n, consensus.propose(self.state[n], self.views[n], lambda value: f"of {n}" if value is None else None))
+            self.take(n, consensus.step(self.state[n], self.views[n]))
 
     def asks(self, n):
-        self.take(n, agree.ask(self.state[n]))
+        self.take(n, consensus.ask(self.state[n]))
 
     def forgets(self, n):
         self.nonce += 1
@@ -181,14 +181,16 @@
             an_acceptance_taken_over_after_a_later_promise,
             (
                 "acceptances",
-                lambda views, mark: agree.consistent([one for one in views if one is not None and one.life and one.accepted.mark == mark]),
+                lambda views, mark: consensus.consistent(
+                    [one for one in views if one is not None and one.life and one.accepted.mark == mark]
+                ),
             ),
         ),
     ],
 )
 def test_what_was_forgotten_is_not_decided_twice(history, planted, monkeypatch):
     assert len(history()) <= 1
-    monkeypatch.setattr(agree, *planted)
+    monkeypatch.setattr(consensus, *planted)
     assert len(history()) == 2
 
 
@@ -212,7 +214,7 @@
     begun = founded(3)
     for seed in range(300):
         wander(seed, begun=begun, crashes=2)
-    monkeypatch.setattr(agree, "come_back", planted)
+    monkeypatch.setattr(consensus, "come_back", planted)
     with pytest.raises(Broken):
         for seed in range(4000):
             wander(seed, begun=begun, crashes=2)
@@ -237,22 +239,22 @@
 def test_a_fleet_begins_by_an_operators_word_only_and_only_with_all_there():
     state = [blank(n, 3, n + 1) for n in range(3)]
     with pytest.raises(ValueError, match="missing: 1, 2"):
-        agree.found(state[0], [state[0], None, None])
+        consensus.found(state[0], [state[0], None, None])
     for _ in range(5):
-        state = [agree.step(one, state) for one in state]
+        state = [consensus.step(one, state) for one in state]
     assert not any(one.life for one in state)  # nobody said it
-    state[1] = agree.found(state[1], state)
+    state[1] = consensus.found(state[1], state)
     other = blank(2, 3, 77)  # restarts meanwhile: the word was for another process
-    state = [agree.step(one, [state[0], state[1], other]) for one in (state[0], state[1], other)]
+    state = [consensus.step(one, [state[0], state[1], other]) for one in (state[0], state[1], other)]
     for _ in range(5):
-        state = [agree.step(one, state) for one in state]
+        state = [consensus.step(one, state) for one in state]
     assert not any(one.life for one in state)
-    state[1] = agree.found(state[1], state)
+    state[1] = consensus.found(state[1], state)
     for _ in range(3):
-        state = [agree.step(one, state) for one in state]
+        state = [consensus.step(one, state) for one in state]
     assert all(one.life == 1 for one in state)
     with pytest.raises(ValueError, match="there is a fleet"):
-        agree.found(state[0], state)
+        consensus.found(state[0], state)
 
 
 def test_seven_of_ten_that_forget_do_not_come_back_by_the_word_of_three():
@@ -272,11 +274,11 @@
             fleet.reads(n, *(m for m in range(10) if m != n))
     assert [one.life for one in fleet.state] == [1] * 3 + [0] * 7
     with pytest.raises(ValueError, match="there is a fleet"):
-        agree.found(fleet.state[5], fleet.views[5])
+        consensus.found(fleet.state[5], fleet.views[5])
     fleet.asks(1)
     for n in range(10):
         fleet.reads(n, *(m for m in range(10) if m != n))
-    assert not agree.leads(fleet.state[1], fleet.views[1])
+    assert not consensus.leads(fleet.state[1], fleet.views[1])
 
 
 def test_six_of_ten_that_remember_bring_four_back():
@@ -293,4 +295,4 @@
     old = fleet.state[2]
     fleet.forgets(2)
     fleet.comes_back(2, 0, 1)
-    assert agree.fenced(old, fleet.state) and not agree.fenced(fleet.state[2], fleet.state)
+    assert consensus.fenced(old, fleet.state) and not consensus.fenced(fleet.state[2], fleet.state)
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -9,7 +9,7 @@
 from helpers import until
 from test_fleet_store import register
 
-from fieldspur.fleet.store import FILE, NotKept, Store
+from fieldspur.fleet.register_store import FILE, NotKept, Store
 
 TORN = """
 import os, sqlite3, sys
--- a/tests/test_fleet_lease.py
+++ b/tests/test_fleet_lease.py
@@ -5,8 +5,8 @@
 import pytest
 from test_fleet import founded
 
-from fieldspur.fleet import agree
-from fieldspur.fleet.agree import NO_BALLOT, blank
+from fieldspur.fleet import consensus
+from fieldspur.fleet.consensus import NO_BALLOT, blank
 from fieldspur.fleet.lease import MOST_TICKS, Backs, Lease
 
 MS = 1_000_000
@@ -51,15 +51,17 @@
                     continue
                 me.views[other.n], me.said[other.n] = other.register, other.lease.backs
                 me.views[n] = me.register
-                me.register = agree.step(me.register, me.views, lambda ballot: me.lease.may_promise(ballot, now), me.lease.may_return(now))
+                me.register = consensus.step(
+                    me.register, me.views, lambda ballot: me.lease.may_promise(ballot, now), me.lease.may_return(now)
+                )
                 if other.tick[0] == me.register.promised != NO_BALLOT and me.register.life:
                     me.lease.read(*other.tick, now)
             me.views[n] = me.register
-            if me.register.life and not agree.leads(me.register, me.views) and now > me.next_ask and me.lease.may_promise((1, n), now):
+            if me.register.life and not consensus.leads(me.register, me.views) and now > me.next_ask and me.lease.may_promise((1, n), now):
                 me.next_ask = now + chance.randrange(500, 3000) * MS
-                me.register = agree.ask(me.register)
+                me.register = consensus.ask(me.register)
                 me.views[n] = me.register
-            if agree.leads(me.register, me.views):
+            if consensus.leads(me.register, me.views):
                 me.tick = me.register.asked, me.lease.publish(me.register.asked, now)
         holding = [me.n for me in all_ if holder(me.lease, me.said, me.now(true))]
         most = max(most, len(holding))
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -3,10 +3,10 @@
 import random
 
 import pytest
-from yard import LENGTH, MS, World
+from simulated_fleet import LENGTH, MS, World
 
-from fieldspur.fleet import words
-from fieldspur.fleet.members import SUSPECT, Heard, Members
+from fieldspur.fleet import register_codec
+from fieldspur.fleet.failure_detector import SUSPECT, Heard, Members
 
 
 def test_phi_grows_with_silence_and_a_steady_member_is_suspected_sooner_than_a_fitful_one():
@@ -170,8 +170,8 @@
 def test_a_line_that_is_none_changes_nothing(change, said):
     world = World(3, 1)
     line = world.nodes[1].line()
-    with pytest.raises(words.BadWord, match=said):
+    with pytest.raises(register_codec.BadWord, match=said):
         world.nodes[0].heard(1, line | change, 0)
     assert world.nodes[0].views[1] is None and world.nodes[0].said[1] is None
-    with pytest.raises(words.BadWord, match="member"):
+    with pytest.raises(register_codec.BadWord, match="member"):
         world.nodes[0].heard(2, line, 0)
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fieldspur.fleet.plan import Bounds, Machine, Park, Unit, plan, schedule
+from fieldspur.fleet.planner import Bounds, Machine, Park, Unit, plan, schedule
 
 
 def caches(many, zone="north", capacity=10.0, load=1.0, **more):
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -5,7 +5,7 @@
 
 import pytest
 from helpers import Cache, until
-from routers import HOST
+from router_processes import HOST
 
 from fieldspur.bench.path import free_port
 
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -6,36 +6,36 @@
 
 import pytest
 
-from fieldspur.fleet import agree, plan, words, work
-from fieldspur.fleet.foreman import Foreman
-from fieldspur.fleet.listed import Granted, Listed
+from fieldspur.fleet import consensus, planner, register_codec, work_orders
+from fieldspur.fleet.coordinator import Foreman
+from fieldspur.fleet.list_lease import Granted, Listed
 
 LENGTH, LONGEST, UNIT = 2, 1, 6  # of moments; UNIT: ns of one, so that a beat is a part of a lease
 ACTS, OTHER, ROUTER = range(3)
-BOUNDS = plan.Bounds(zone=1.0, all=1.0, both=1.0, headroom=1.0)
-BOARD = {f"c{n}": work.Listing("up", 0, "h:1", "east", "cache", 10.0) for n in range(2)}
+BOUNDS = planner.Bounds(zone=1.0, all=1.0, both=1.0, headroom=1.0)
+BOARD = {f"c{n}": work_orders.Listing("up", 0, "h:1", "east", "cache", 10.0) for n in range(2)}
 
 
 class Quiet(Foreman):
     """What is not searched here is left out: loads, words for operators."""
 
     def park(self, now):
-        return plan.Park({name: plan.Machine("east", False, 10.0, 0.0, 0.0) for name in BOARD}, BOUNDS)
+        return planner.Park({name: planner.Machine("east", False, 10.0, 0.0, 0.0) for name in BOARD}, BOUNDS)
 
 
 class State:
     def __init__(self, planted):
-        self.now, self.documents, self.acting = 10 * UNIT, [work.NOTHING], ACTS
+        self.now, self.documents, self.acting = 10 * UNIT, [work_orders.NOTHING], ACTS
         self.paused = self.pauses = self.restarts = self.changes = 0
         self.out_at = None
         self.planted = planted
         self.members = [self.member(n) for n in range(3)]
         self.nonces = [1, 2, 3]
         self.lines = [None] * 3
-        order = work.Order("a", "elsewhere", "c0", 9.0, 0.0, (), work.NEXT, 1, 0, 1)
-        self.documents.append(work.Work(1, (order,)))
+        order = work_orders.Order("a", "elsewhere", "c0", 9.0, 0.0, (), work_orders.NEXT, 1, 0, 1)
+        self.documents.append(work_orders.Work(1, (order,)))
         for n, one in enumerate(self.members):
-            one.know(words.frozen(work.value(self.documents[1])))
+            one.know(register_codec.frozen(work_orders.value(self.documents[1])))
             one.applied(1, {"c0": 0})
         for _ in range(2):  # all were told that it is next, and hold leases
             self.pass_time()
@@ -60,10 +60,13 @@
         for n, one in enumerate(self.members):
             if n == ROUTER and self.paused:
                 continue
-            one.tick(self.now, n == self.acting, [words.frozen(work.value(self.documents[self.number(n)]))], frozenset(), True)
+            one.tick(
+                self.now, n == self.acting, [register_codec.frozen(work_orders.value(self.documents[self.number(n)]))], frozenset(), True
+            )
             one.applied(one.work.number, {"c0": 0} if one.work.number else {})
-            register = agree.blank(n, 3, self.nonces[n])._replace(
-                life=1, decided=agree.Said((1, 0, self.number(n)), words.frozen(work.value(self.documents[self.number(n)])))
+            register = consensus.blank(n, 3, self.nonces[n])._replace(
+                life=1,
+                decided=consensus.Said((1, 0, self.number(n)), register_codec.frozen(work_orders.value(self.documents[self.number(n)]))),
             )
             self.lines[n] = (one.line(), register)
 
@@ -83,12 +86,12 @@
         if one.work.number != len(self.documents) - 1:
             return False  # it takes over what may be decided first
         one.looked_at = -1 << 60
-        value = one.succeed(words.frozen(work.value(one.work)), self.now)
+        value = one.succeed(register_codec.frozen(work_orders.value(one.work)), self.now)
         if value is None:
             return False
-        self.documents.append(work.read(value))
+        self.documents.append(work_orders.read(value))
         one.know(value)
-        if self.documents[-1].orders and self.documents[-1].orders[0].state == work.OUT and self.out_at is None:
+        if self.documents[-1].orders and self.documents[-1].orders[0].state == work_orders.OUT and self.out_at is None:
             self.out_at = self.now
         return True
 
@@ -167,13 +170,13 @@
 
     def publish_one(self):
         one = self.members[ROUTER]
-        self.lines[ROUTER] = (one.line(), agree.blank(ROUTER, 3, self.nonces[ROUTER]))
+        self.lines[ROUTER] = (one.line(), consensus.blank(ROUTER, 3, self.nonces[ROUTER]))
 
     def another(self):
         """The lease of who acts has ended; what it published last may still be read. The next begins by what was decided."""
         self.changes, self.acting = 1, OTHER
         self.members[ACTS].tick(self.now, False, [()], frozenset(), True)
-        self.members[OTHER].know(words.frozen(work.value(self.documents[-1])))
+        self.members[OTHER].know(register_codec.frozen(work_orders.value(self.documents[-1])))
         self.members[OTHER].granted.acts(True, self.now)
 
 
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -11,19 +11,19 @@
 import pytest
 from test_fleet import founded
 
-from fieldspur.fleet import agree, words
-from fieldspur.fleet.store import FILE, NotKept, Store
+from fieldspur.fleet import consensus, register_codec
+from fieldspur.fleet.register_store import FILE, NotKept, Store
 
 
 def register(round_=3, value=("out", "c1")):
     state, _ = founded(3)
-    said = agree.Said((round_, 1, 0), value)
+    said = consensus.Said((round_, 1, 0), value)
     return state[1]._replace(promised=(round_, 1), asked=(round_, 1), accepted=said, said=said)
 
 
 def test_a_register_is_the_same_after_json_and_a_later_version_s_keys_are_passed_over():
-    raw = json.loads(json.dumps(words.value(register()))) | {"later": 1}
-    assert words.register(raw, 3) == register()
+    raw = json.loads(json.dumps(register_codec.value(register()))) | {"later": 1}
+    assert register_codec.register(raw, 3) == register()
 
 
 @pytest.mark.parametrize(
@@ -42,10 +42,10 @@
     ],
 )
 def test_what_is_no_register_is_named(change, said):
-    with pytest.raises(words.BadWord, match=said):
-        words.register(json.loads(json.dumps(words.value(register()))) | change, 3)
-    with pytest.raises(words.BadWord):
-        words.register([], 3)
+    with pytest.raises(register_codec.BadWord, match=said):
+        register_codec.register(json.loads(json.dumps(register_codec.value(register()))) | change, 3)
+    with pytest.raises(register_codec.BadWord):
+        register_codec.register([], 3)
 
 
 def test_what_was_kept_is_there_after_a_restart_and_asks_for_a_ballot_of_its_own_anew(tmp_path):
@@ -57,16 +57,16 @@
     kept = Store(tmp_path, "valley", 1, 3).load()
     assert kept == register(3)
     assert Store(tmp_path, "other", 1, 3).load() is None and Store(tmp_path, "valley", 2, 3).load() is None
-    again = agree.resume(kept, 900)
+    again = consensus.resume(kept, 900)
     assert again.life == kept.life and again.accepted == kept.accepted and again.promised == kept.promised
-    assert not agree.leads(again, [None, again, None]) and agree.ask(again).asked > kept.asked
+    assert not consensus.leads(again, [None, again, None]) and consensus.ask(again).asked > kept.asked
 
 
 WRITER = """
 import sys
 sys.path[:0] = sys.argv[3:]
 from test_fleet_store import register
-from fieldspur.fleet.store import Store
+from fieldspur.fleet.register_store import Store
 store = Store(sys.argv[1], "valley", 1, 3)
 for n in range(1, 100000):
     store.keep(register(n, "x" * int(sys.argv[2])))
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -3,11 +3,11 @@
 import random
 
 import pytest
-from yard import LENGTH, LONGEST, MS, SECOND, Yard
+from simulated_fleet import LENGTH, LONGEST, MS, SECOND, Yard
 
-from fieldspur.fleet import foreman, plan, work
-from fieldspur.fleet.listed import Granted, Listed
-from fieldspur.fleet.wishes import wishes_of
+from fieldspur.fleet import coordinator, planner, work_orders
+from fieldspur.fleet.list_lease import Granted, Listed
+from fieldspur.fleet.work_requests import wishes_of
 from fieldspur.operators import BadFile, parse
 
 
@@ -36,7 +36,7 @@
 
 
 def test_an_order_goes_out_is_free_and_comes_back_and_the_next_follows():
-    yard = begun(3, 1, bounds=plan.Bounds(zone=0.34, all=0.34))
+    yard = begun(3, 1, bounds=planner.Bounds(zone=0.34, all=0.34))
     yard.ask(0, "c0")
     yard.ask(2, "c1", ident="other")
     yard.until(lambda: len(yard.how()) == 2, 60_000)
@@ -68,8 +68,8 @@
     yard.ask(yard.acted[-1], "c0", needs=20.0)
     yard.until(lambda: told(yard, other), 10_000)
     yard.cut = {(a, b) for a in range(3) for b in range(3) if other in (a, b)}
-    yard.until(lambda: state(yard, "c0") == work.FREE, 20_000)
-    assert yard.nodes[other].foreman.work.of("w-c0").state in (work.NEXT, work.GOING)
+    yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
+    assert yard.nodes[other].foreman.work.of("w-c0").state in (work_orders.NEXT, work_orders.GOING)
     assert "c0" in yard.nodes[other].foreman.off(yard.now) and "c1" not in yard.nodes[other].foreman.off(yard.now)
     whole(yard)
 
@@ -83,12 +83,12 @@
     yard.ask(yard.acted[-1], "c0", needs=20.0)
     yard.run(12_000)
     if strict:
-        assert state(yard, "c0") == work.FREE and not yard.hops[other]
+        assert state(yard, "c0") == work_orders.FREE and not yard.hops[other]
     else:
-        assert state(yard, "c0") == work.NEXT and note(yard, "c0") == f"r{other} has not heard of it"
+        assert state(yard, "c0") == work_orders.NEXT and note(yard, "c0") == f"r{other} has not heard of it"
         assert yard.hops[other]
     yard.cut = set()
-    yard.until(lambda: state(yard, "c0") == work.FREE, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
     yard.run(4000)
     assert yard.hops[other]
     whole(yard)
@@ -100,17 +100,17 @@
     yard.ask(yard.acted[-1], "c0", needs=20.0)
     yard.until(lambda: told(yard, other), 10_000)
     yard.cut = {(m, other) for m in range(3)}
-    yard.until(lambda: state(yard, "c0") == work.FREE, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
     whole(yard)
 
 
 def test_a_machine_is_not_free_while_a_router_has_something_open_there():
     yard = begun(3, 6)
     yard.ask(0, "c0")
-    yard.until(lambda: state(yard, "c0") == work.GOING, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.GOING, 20_000)
     yard.hops[2].append(("c0", yard.now, yard.now + 40 * SECOND))  # a long one
     yard.run(20_000)
-    assert state(yard, "c0") == work.OUT and "r2 may have something open there" in note(yard, "c0")
+    assert state(yard, "c0") == work_orders.OUT and "r2 may have something open there" in note(yard, "c0")
     yard.until(lambda: "c0" in yard.frees, 40_000)
     whole(yard)
 
@@ -121,17 +121,17 @@
     yard.ask(yard.acted[-1], "c0", needs=60.0)
     yard.until(lambda: told(yard, other), 10_000)
     yard.stopped = {other}
-    yard.until(lambda: state(yard, "c0") == work.FREE, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
     yard.stopped = set()
     yard.run(3000)
-    assert yard.nodes[other].foreman.work.of("w-c0").state == work.FREE
+    assert yard.nodes[other].foreman.work.of("w-c0").state == work_orders.FREE
     whole(yard)
 
 
 def test_an_order_withdrawn_while_its_machine_drains_gives_it_back_at_once():
     yard = begun(3, 8)
     yard.ask(1, "c0")
-    yard.until(lambda: state(yard, "c0") == work.GOING, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.GOING, 20_000)
     yard.wished[1].clear()
     yard.until(lambda: yard.how() == {"c0": "dropped"}, 5000)
     yard.run(1000)
@@ -142,9 +142,9 @@
 def test_one_withdrawn_when_it_is_out_comes_back_like_one_that_was_worked_on():
     yard = begun(3, 9)
     yard.ask(1, "c0", needs=60.0)
-    yard.until(lambda: state(yard, "c0") == work.FREE, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
     yard.ask(1, "c0", needs=60.0, drop=True)
-    yard.until(lambda: state(yard, "c0") == work.BACK, 5000)
+    yard.until(lambda: state(yard, "c0") == work_orders.BACK, 5000)
     yard.until(lambda: yard.how() == {"c0": "done"}, 10_000)
     whole(yard)
 
@@ -153,32 +153,32 @@
     yard = begun(3, 10)
     yard.ask(1, "c0", held=True)
     yard.run(6000)
-    assert state(yard, "c0") == work.HELD
+    assert state(yard, "c0") == work_orders.HELD
     yard.ask(1, "c0", held=False)
     yard.until(lambda: yard.how() == {"c0": "done"}, 20_000)
     whole(yard)
 
 
 def test_machines_that_belong_together_go_together_and_one_waits_for_the_other_to_be_asked_for():
-    yard = begun(3, 11, bounds=plan.Bounds(zone=0.5, all=0.5, both=1.0))
+    yard = begun(3, 11, bounds=planner.Bounds(zone=0.5, all=0.5, both=1.0))
     yard.ask(0, "c0", beside=("c1",))
     yard.run(5000)
-    assert state(yard, "c0") == work.WAITING and note(yard, "c0") == "nobody asked for c1"
+    assert state(yard, "c0") == work_orders.WAITING and note(yard, "c0") == "nobody asked for c1"
     yard.ask(2, "c1")
     yard.until(lambda: yard.frees, 20_000)
-    assert {state(yard, "c0"), state(yard, "c1")} <= {work.OUT, work.FREE}
+    assert {state(yard, "c0"), state(yard, "c1")} <= {work_orders.OUT, work_orders.FREE}
     yard.until(lambda: yard.how() == {"c0": "done", "c1": "done"}, 20_000)
     whole(yard)
 
 
 def test_the_board_drains_another_at_the_same_moment_and_the_one_that_goes_is_taken_back():
-    yard = begun(3, 12, bounds=plan.Bounds(zone=0.34, all=0.34))
+    yard = begun(3, 12, bounds=planner.Bounds(zone=0.34, all=0.34))
     yard.ask(0, "c0")
-    yard.until(lambda: state(yard, "c0") == work.NEXT, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.NEXT, 20_000)
     yard.listings["c1"] = yard.listings["c1"]._replace(state="draining")
     yard.listings["c2"] = yard.listings["c2"]._replace(state="draining")
     yard.run(6000)
-    assert state(yard, "c0") == work.WAITING and "bounds.zone allows 0.34" in note(yard, "c0")
+    assert state(yard, "c0") == work_orders.WAITING and "bounds.zone allows 0.34" in note(yard, "c0")
     for name in ("c1", "c2"):
         yard.listings[name] = yard.listings[name]._replace(state="up")
     yard.until(lambda: yard.how() == {"c0": "done"}, 20_000)
@@ -190,21 +190,21 @@
     [({"state": "gone"}, "gone from the board while out"), ({"where": "h:77"}, "back at another address: h:77"), ({}, "overdue")],
 )
 def test_one_that_does_not_come_back_as_it_was_counts_as_out_and_the_operator_is_told(change, said):
-    yard = begun(3, 13, bounds=plan.Bounds(zone=0.2, all=0.2))
+    yard = begun(3, 13, bounds=planner.Bounds(zone=0.2, all=0.2))
     yard.ask(0, "c0", needs=5.0)
     yard.ask(0, "c1", needs=5.0)
-    yard.until(lambda: state(yard, "c0") == work.FREE, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
     yard.restarts.clear()
     yard.listings["c0"] = yard.listings["c0"]._replace(started=yard.now // MS, **change) if change else yard.listings["c0"]
     yard.run(14_000)
-    assert state(yard, "c0") == work.FREE and note(yard, "c0") == said and state(yard, "c1") == work.WAITING
+    assert state(yard, "c0") == work_orders.FREE and note(yard, "c0") == said and state(yard, "c1") == work_orders.WAITING
     yard.listings["c0"] = yard.listings["c0"]._replace(state="up")
     yard.ask(0, "c0", needs=5.0, back=True)  # an operator says so
     yard.until(lambda: yard.how().get("c0") == "done", 20_000)
     whole(yard)
 
 
-@pytest.mark.parametrize("step", [work.NEXT, work.GOING, work.OUT, work.FREE, work.BACK])
+@pytest.mark.parametrize("step", [work_orders.NEXT, work_orders.GOING, work_orders.OUT, work_orders.FREE, work_orders.BACK])
 def test_who_acts_is_killed_at_a_step_of_an_order_and_it_goes_on(step):
     yard = begun(5, 14)
     yard.ask(0, "c0", needs=3.0)
@@ -224,7 +224,7 @@
     for seed in range(8):
         yard = begun(3, 20 + seed)
         yard.ask(0, "c0", needs=3.0)
-        yard.until(lambda: state(yard, "c0") == (work.NEXT, work.GOING)[seed % 2], 30_000)
+        yard.until(lambda: state(yard, "c0") == (work_orders.NEXT, work_orders.GOING)[seed % 2], 30_000)
         who = yard.acted[-1]
         yard.run(50 * (seed % 4))
         yard.cut = {(who, m) for m in range(3) if m != (who + 1) % 3}
@@ -239,7 +239,7 @@
 def test_all_routers_restart_in_turn_during_an_order():
     yard = begun(5, 15)
     yard.ask(0, "c0", needs=25.0)
-    yard.until(lambda: state(yard, "c0") == work.OUT, 20_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.OUT, 20_000)
     for n in range(5):
         yard.kill(n)
         yard.run(300)
@@ -250,9 +250,9 @@
 
 
 def test_seven_of_ten_that_forget_leave_a_fleet_that_changes_nothing_and_keeps_off_what_was_out():
-    yard = begun(10, 16, bounds=plan.Bounds(zone=0.5, all=0.5, both=1.0))
+    yard = begun(10, 16, bounds=planner.Bounds(zone=0.5, all=0.5, both=1.0))
     yard.ask(9, "c0", needs=300.0)
-    yard.until(lambda: state(yard, "c0") == work.FREE, 30_000)
+    yard.until(lambda: state(yard, "c0") == work_orders.FREE, 30_000)
     number = yard.latest().number
     for n in range(7):
         yard.kill(n)
@@ -274,12 +274,12 @@
     yard.run(500)
     yard.ask(yard.acted[-1], "c0")
     yard.run(8000)
-    assert state(yard, "c0") == work.NEXT and note(yard, "c0") == f"r{old} has not heard of it"
+    assert state(yard, "c0") == work_orders.NEXT and note(yard, "c0") == f"r{old} has not heard of it"
     whole(yard)
 
 
 def test_a_partition_that_splits_five_heals_and_splits_otherwise_keeps_one_order():
-    yard = begun(5, 18, bounds=plan.Bounds(zone=0.34, all=0.34))
+    yard = begun(5, 18, bounds=planner.Bounds(zone=0.34, all=0.34))
     for n, machine in enumerate(("c0", "c1", "c2", "c3")):
         yard.ask(n, machine)
     for group in ((0, 1), (0, 4), (2, 3), (1, 3)):
@@ -293,7 +293,7 @@
 
 
 def test_clocks_hours_apart_that_jump_both_ways_change_nothing():
-    yard = begun(5, 19, bounds=plan.Bounds(zone=0.34, all=0.34))
+    yard = begun(5, 19, bounds=planner.Bounds(zone=0.34, all=0.34))
     chance = random.Random(19)
     for m in range(4):
         yard.ask(m, f"c{m}", before=yard.now / SECOND + 60)
@@ -307,7 +307,7 @@
 
 def faulty_day(seed, members=5, rounds=18, **more):
     """Anything may fail at any time; members that forget, pairs cut one way, members stopped."""
-    yard = begun(members, seed, machines=8, **more, bounds=plan.Bounds(zone=0.26, all=0.26, both=1.0))
+    yard = begun(members, seed, machines=8, **more, bounds=planner.Bounds(zone=0.26, all=0.26, both=1.0))
     chance = random.Random(seed)
     for m in range(6):
         yard.ask(chance.randrange(members), f"c{m}", needs=chance.uniform(0.5, 3.0))
@@ -363,7 +363,7 @@
     yard.kill(4)
     yard.ask(3, "c0", needs=3.0)  # asked at one that follows
     yard.run(6000)
-    assert state(yard, "c0") == work.NEXT and note(yard, "c0") == "r4 has not heard of it"
+    assert state(yard, "c0") == work_orders.NEXT and note(yard, "c0") == "r4 has not heard of it"
     yard.nodes[0].foreman.left = ["r4"]
     yard.until(lambda: yard.how() == {"c0": "done"}, 30_000)
     assert yard.latest().routers == ("r3",)
@@ -415,7 +415,7 @@
 
 
 def no_bounds(made):
-    made.bounds = plan.Bounds(zone=1.0, all=1.0, both=1.0)
+    made.bounds = planner.Bounds(zone=1.0, all=1.0, both=1.0)
 
 
 @pytest.mark.parametrize("planted", [no_lease, eager_out, eager_free, careless, no_bounds])
@@ -430,14 +430,14 @@
 def test_who_goes_by_an_older_document_than_may_be_decided_gets_no_lease():
     """Who acts took over a word that says c0 is out from one that stopped, and knows no decision of it yet. Generated days did not
     find this planted; without the look at such words r1 would use c0 by its lease while that is decided."""
-    order = work.Order("a", "r0", "c0", 3.0, 0.0, (), work.OUT, 6, 100, 3, 5)
-    from fieldspur.fleet import words
+    order = work_orders.Order("a", "r0", "c0", 3.0, 0.0, (), work_orders.OUT, 6, 100, 3, 5)
+    from fieldspur.fleet import register_codec
 
-    may_be = words.frozen(work.value(work.Work(6, (order,))))
-    made = foreman.Foreman(["r0", "r1", "r2"], "r0", "east", LENGTH, plan.Bounds(), False, LONGEST, SECOND)
+    may_be = register_codec.frozen(work_orders.value(work_orders.Work(6, (order,))))
+    made = coordinator.Foreman(["r0", "r1", "r2"], "r0", "east", LENGTH, planner.Bounds(), False, LONGEST, SECOND)
     made.holds = 3
     for name, holds in (("r1", 3), ("r2", 5)):
-        made.reports[name] = foreman.Report(7, holds, 4, {}, False, False, {}, (), (0, 0), (), "east")
+        made.reports[name] = coordinator.Report(7, holds, 4, {}, False, False, {}, (), (0, 0), (), "east")
     made.tick(SECOND, True, [None, may_be, may_be], frozenset(), True)
     assert made.line()["work"]["grants"] == [["r2", 7, 4]] and not made.listed.holds(SECOND)
     assert made.may_use(5, 9 * SECOND) == ["r0"] and made.may_use(6, 2 * SECOND) == ["r0", "r1", "r2"]
@@ -467,14 +467,14 @@
 
 
 def test_a_document_reads_back_as_it_was_and_one_that_is_none_is_refused():
-    order = work.Order("a", "r1", "c1", 3.0, 0.0, ("c2",), work.FREE, 7, 100, 3, 5, 0, "h:1", "overdue")
-    found = work.Work(9, (order,), (work.Ended("b", "c9", work.REFUSED, "why", 4),))
-    from fieldspur.fleet import words
+    order = work_orders.Order("a", "r1", "c1", 3.0, 0.0, ("c2",), work_orders.FREE, 7, 100, 3, 5, 0, "h:1", "overdue")
+    found = work_orders.Work(9, (order,), (work_orders.Ended("b", "c9", work_orders.REFUSED, "why", 4),))
+    from fieldspur.fleet import register_codec
 
-    assert work.read(words.frozen(work.value(found))) == found and found.least() == 5
+    assert work_orders.read(register_codec.frozen(work_orders.value(found))) == found and found.least() == 5
     for bad in (3, "x", ("x", (), ()), (1, (("a",),), ()), (1, ((*order[:6], "away", *order[7:]),), ()), (1, 2, 3), (1, {}, ())):
-        with pytest.raises(work.BadOrder):
-            work.read(bad)
+        with pytest.raises(work_orders.BadOrder):
+            work_orders.read(bad)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import Client, endpoint, until
 
-from fieldspur.fleet import work
+from fieldspur.fleet import work_orders
 
 GRACE = 0.25 + 0.15  # of a drain, and of what passes through this process
 
@@ -82,7 +82,7 @@
 
 
 def out_since(fleet, n, machine, *states):
-    until(lambda: fleet.state(n, machine) in (states or (work.OUT, work.FREE)), f"{machine} out")
+    until(lambda: fleet.state(n, machine) in (states or (work_orders.OUT, work_orders.FREE)), f"{machine} out")
     return time.monotonic()
 
 
@@ -90,14 +90,14 @@
     fleet, crowd = crowded(3)
     fleet.ask(1, {"machine": "c1", "needs_s": 2})
     at = out_since(fleet, 0, "c1")
-    until(lambda: fleet.state(2, "c1") == work.FREE, "word that it is free")
+    until(lambda: fleet.state(2, "c1") == work_orders.FREE, "word that it is free")
     time.sleep(1.5)
     assert not crowd.to("c1", at + GRACE) and crowd.to("c0", at + GRACE)
     restarted(fleet, "c1")
-    until(lambda: all(fleet.state(n, "c1") == work.DONE for n in range(3)), "its end")
+    until(lambda: all(fleet.state(n, "c1") == work_orders.DONE for n in range(3)), "its end")
     assert crowd.to("c1", at + GRACE)
     lines = fleet.all[0].lines()
-    for state in (work.GOING, work.OUT, work.FREE, work.BACK):
+    for state in (work_orders.GOING, work_orders.OUT, work_orders.FREE, work_orders.BACK):
         assert "event=work order=" in lines and f"state={state}" in lines
     assert crowd.codes.count(79) > 0.95 * len(crowd.codes)
 
@@ -110,9 +110,9 @@
         if n != late:
             fleet.links[late, n].cuts(True)
     fleet.ask(first, {"machine": machine, "needs_s": 300})
-    until(lambda: fleet.state(told, machine) == work.NEXT, "word of what is next")
+    until(lambda: fleet.state(told, machine) == work_orders.NEXT, "word of what is next")
     time.sleep(0.5)
-    assert fleet.state(first, machine) == work.NEXT
+    assert fleet.state(first, machine) == work_orders.NEXT
     return told, lambda: [fleet.links[late, n].cuts(False) for n in range(3) if n != late]
 
 
@@ -130,7 +130,7 @@
     at = out_since(fleet, first, "c2")
     served = crowd.answers[deaf]
     time.sleep(1.0)
-    assert fleet.state(deaf, "c2") == work.NEXT
+    assert fleet.state(deaf, "c2") == work_orders.NEXT
     assert not crowd.to("c2", at + GRACE) and crowd.answers[deaf] > served
     for link in fleet.links.values():
         link.cuts(False)
@@ -146,7 +146,7 @@
     at = out_since(fleet, first, "c2")
     time.sleep(1.0)
     fleet.all[still].process.send_signal(signal.SIGCONT)
-    until(lambda: fleet.state(still, "c2") in (work.OUT, work.FREE), "word of what went")
+    until(lambda: fleet.state(still, "c2") in (work_orders.OUT, work_orders.FREE), "word of what went")
     time.sleep(0.5)
     assert not crowd.to("c2", at + GRACE)
 
@@ -158,7 +158,7 @@
     fleet.all[still].process.send_signal(signal.SIGSTOP)
     fleet.ask(first, {"machine": "c3", "needs_s": 300})
     time.sleep(3)
-    assert fleet.state(first, "c3") == work.NEXT, fleet.orders(first)
+    assert fleet.state(first, "c3") == work_orders.NEXT, fleet.orders(first)
     fleet.all[still].process.send_signal(signal.SIGCONT)
     at = out_since(fleet, first, "c3")
     time.sleep(1.0)
@@ -170,29 +170,29 @@
     first, _ = fleet.acting()
     other = (first + 1) % 3
     fleet.ask(other, {"machine": "c0", "needs_s": 2})
-    until(lambda: fleet.state(other, "c0") in (work.GOING, work.OUT), "a machine that goes")
+    until(lambda: fleet.state(other, "c0") in (work_orders.GOING, work_orders.OUT), "a machine that goes")
     fleet.kill(first)
     at = out_since(fleet, other, "c0")
     fleet.acting(but=[first])
     fleet.restart(first)
-    until(lambda: fleet.state(other, "c0") == work.FREE, "word that it is free")
+    until(lambda: fleet.state(other, "c0") == work_orders.FREE, "word that it is free")
     fleet.all[first].client()  # it serves again, and knows what is out
     time.sleep(1.0)
     assert not crowd.to("c0", at + GRACE)
     restarted(fleet, "c0")
-    until(lambda: fleet.state(other, "c0") == work.DONE, "its end", 30)
+    until(lambda: fleet.state(other, "c0") == work_orders.DONE, "its end", 30)
 
 
 def test_all_restart_one_after_the_other_with_their_folders_while_a_machine_is_out(crowded):
     fleet, crowd = crowded(3, disk=True)
     fleet.ask(0, {"machine": "c0", "needs_s": 300})
-    at = out_since(fleet, 1, "c0", work.FREE)
+    at = out_since(fleet, 1, "c0", work_orders.FREE)
     for n in range(3):
         fleet.kill(n)
         fleet.restart(n)
         fleet.all[n].client()
     time.sleep(1.0)
-    assert not crowd.to("c0", at + GRACE) and [fleet.state(n, "c0") for n in range(3)] == [work.FREE] * 3
+    assert not crowd.to("c0", at + GRACE) and [fleet.state(n, "c0") for n in range(3)] == [work_orders.FREE] * 3
 
 
 @pytest.mark.parametrize("off", [300, -300])
@@ -202,16 +202,16 @@
     first, _ = fleet.acting()
     other = (first + 1) % 3
     fleet.ask(other, {"machine": "c1", "needs_s": 2})
-    until(lambda: fleet.state(other, "c1") in (work.GOING, work.OUT), "a machine that goes")
+    until(lambda: fleet.state(other, "c1") in (work_orders.GOING, work_orders.OUT), "a machine that goes")
     fleet.clocks[first].set(off)
     at = out_since(fleet, other, "c1")
     fleet.clocks[other].set(-off)
-    until(lambda: fleet.state(other, "c1") == work.FREE, "word that it is free")
+    until(lambda: fleet.state(other, "c1") == work_orders.FREE, "word that it is free")
     served = dict(crowd.answers)
     time.sleep(2)
     assert not crowd.to("c1", at + GRACE) and all(crowd.answers[n] > served[n] + 50 for n in range(3)), (served, crowd.answers)
     restarted(fleet, "c1")
-    until(lambda: all(fleet.state(n, "c1") == work.DONE for n in range(3)), "its end", 30)
+    until(lambda: all(fleet.state(n, "c1") == work_orders.DONE for n in range(3)), "its end", 30)
     assert fleet.acts(first)
 
 
@@ -220,7 +220,7 @@
     fleet.ask(2, {"machine": "c3", "needs_s": 300, "before": time.time() + 3600})
     out_since(fleet, 0, "c3")
     fleet.ask(2)
-    until(lambda: fleet.state(0, "c3") == work.DONE, "its end")
+    until(lambda: fleet.state(0, "c3") == work_orders.DONE, "its end")
     at = time.monotonic()
     until(lambda: crowd.to("c3", at), "something to it again")
 
@@ -264,7 +264,7 @@
     fleet.ask(0, {"machine": "c2", "needs_s": 300})
     time.sleep(3.0)
     number, orders, _ = fleet.orders(0)
-    assert orders["c2"].state == work.NEXT and orders["c2"].note == "r3 has not heard of it"
+    assert orders["c2"].state == work_orders.NEXT and orders["c2"].note == "r3 has not heard of it"
     fleet.fleet["left"] = ["r3"]
     fleet.reload(1)
     at = out_since(fleet, 0, "c2")
@@ -274,7 +274,7 @@
     fleet.all[3].client()
     time.sleep(1.0)
     assert not crowd.to("c2", at + GRACE)
-    until(lambda: crowd.answers[3] > 0 and fleet.state(0, "c2") == work.FREE, "word that it is free")
+    until(lambda: crowd.answers[3] > 0 and fleet.state(0, "c2") == work_orders.FREE, "word that it is free")
 
 
 def test_a_member_whose_disk_is_full_says_nothing_new_and_an_order_waits_for_it(crowded):
@@ -285,7 +285,7 @@
     fleet.ask(first, {"machine": "c1", "needs_s": 300})
     time.sleep(3.0)
     _, orders, _ = fleet.orders(first)
-    assert orders["c1"].state == work.NEXT and orders["c1"].note == f"r{full} has not heard of it"
+    assert orders["c1"].state == work_orders.NEXT and orders["c1"].note == f"r{full} has not heard of it"
     served = crowd.answers[full]
     resource.prlimit(fleet.all[full].process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
     at = out_since(fleet, first, "c1")
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -8,8 +8,8 @@
 from helpers import SPAN, Referee, rule
 
 from fieldspur.decide import MS, SECOND, Fleet
-from fieldspur.drill.codec import BadInput, serve
 from fieldspur.host import FILLED_BY_ORIGIN, HIT, ORIGIN_FAILED, SOURCE_REFUSED
+from fieldspur.simulator.codec import BadInput, serve
 
 
 def test_concurrent_misses_wait_behind_one_leader_and_follow_to_its_home():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,11 +14,11 @@
 from fieldspur import operators
 from fieldspur.cli import main
 from fieldspur.lab import catalog
-from fieldspur.lab.emulate import model, queues, wire
-from fieldspur.lab.emulate.loop import Loop
-from fieldspur.lab.judge import report
-from fieldspur.lab.judge.check import MS, SECOND, Checker, Try
-from fieldspur.lab.plays import far, play, scenario
+from fieldspur.lab.checks import report
+from fieldspur.lab.checks.rule_checker import MS, SECOND, Checker, Try
+from fieldspur.lab.emulate import server_model, socket_queues, wire
+from fieldspur.lab.emulate.event_loop import Loop
+from fieldspur.lab.runs import scenario, scenario_run, simulation
 
 SMALL = {
     "about": "each rule has its occasion",
@@ -44,10 +44,10 @@
     ],
 }
 SABOTAGE = {
-    1: "from fieldspur.net.relay import Outlet\nput = Outlet.put\n"
+    1: "from fieldspur.net.client_writer import Outlet\nput = Outlet.put\n"
     "Outlet.put = lambda self, data: (put(self, data), data[0][4:5] == b'B' and put(self, data))\n",
     2: "from fieldspur.decide import Router\nRouter.may_send = lambda *about: True\n",
-    3: "from fieldspur.net.route import Route\nfrom fieldspur.record import replace\nold = Route.list_told\n"
+    3: "from fieldspur.net.router_host import Route\nfrom fieldspur.record import replace\nold = Route.list_told\n"
     "Route.list_told = lambda self, change, now=False: old(self, replace(change, servers=tuple(\n"
     "    replace(s, state='up') for s in change.servers)), now)\n",
     4: "from fieldspur.decide import Fleet\nFleet.has_room = lambda *about: True\nFleet.is_cold = lambda *about: False\n"
@@ -63,11 +63,14 @@
 @pytest.fixture(scope="module")
 def runs():
     """A whole router, alone on the machine, and routers that break one rule each, side by side."""
-    whole = play.play(small())
+    whole = scenario_run.play(small())
     start = "import sys\nfrom fieldspur.__main__ import main\nsys.exit(main())\n"
     with ThreadPoolExecutor(5) as pool:
         broken = dict(
-            zip(SABOTAGE, pool.map(lambda code: play.play(small(), command=[sys.executable, "-O", "-c", code + start]), SABOTAGE.values()))
+            zip(
+                SABOTAGE,
+                pool.map(lambda code: scenario_run.play(small(), command=[sys.executable, "-O", "-c", code + start]), SABOTAGE.values()),
+            )
         )
     return whole, broken
 
@@ -91,7 +94,7 @@
     whole["load"]["classes"][0]["rate"] /= 2
     plan = scenario.parse(json.dumps(whole).encode(), seconds=14.2, faults=[fault for fault in whole["faults"] if fault["at"] < 14.2])
     start = "import sys\nfrom fieldspur.__main__ import main\nsys.exit(main())\n"
-    good = play.play(plan, command=[sys.executable, "-O", "-c", start])
+    good = scenario_run.play(plan, command=[sys.executable, "-O", "-c", start])
     assert good["passed"], good["missed"]
 
 
@@ -210,15 +213,15 @@
 
 def server(clock, rating=2.0, **more):
     plan = scenario.Servers(**more)
-    made = model.Server(clock, "s", "std", rating, 1000.0, 1000.0, plan)
-    made.store = model.Store(clock, 10.0, 20 * MS)
+    made = server_model.Server(clock, "s", "std", rating, 1000.0, 1000.0, plan)
+    made.store = server_model.Store(clock, 10.0, 20 * MS)
     return made
 
 
 def ask(made, obj="a", kb=100.0, source="store", join=True, rank=2, key=None, kept=True, ident="x", ended=None):
     ended = [] if ended is None else ended
     made.ask(
-        model.Asked(
+        server_model.Asked(
             "pages",
             obj,
             0,
@@ -238,9 +241,9 @@
 
 
 def test_transfers_share_a_server_s_pace_and_a_single_one_has_it_all():
-    clock = far.Clock(0)
+    clock = simulation.Clock(0)
     made = server(clock)
-    made.keep("a", 0, model.Copy(0, 100.0, 2))
+    made.keep("a", 0, server_model.Copy(0, 100.0, 2))
     alone = ask(made)
     clock.run(SECOND)
     assert alone[0][0] // MS == 101  # 100 KB at 1,000 KB a second, and the start
@@ -253,13 +256,13 @@
 
 def test_what_is_given_up_is_not_sent_on_and_a_purge_binds_what_is_on_its_way():
     """Found at large size: transfers that nobody waited for kept a cache crowded, and a late fill brought an old copy."""
-    clock = far.Clock(0)
+    clock = simulation.Clock(0)
     made = server(clock, rating=1.0)
-    made.keep("aa", 0, model.Copy(0, 100.0, 2))
+    made.keep("aa", 0, server_model.Copy(0, 100.0, 2))
     first, ended = [], []
     for n in range(3):
         first.append(
-            model.Asked("pages", "aa", 0, 100.0, None, None, 2, 0, False, True, True, lambda *about: ended.append(clock.now() // MS))
+            server_model.Asked("pages", "aa", 0, 100.0, None, None, 2, 0, False, True, True, lambda *about: ended.append(clock.now() // MS))
         )
         made.ask(first[-1])
     clock.run(50 * MS)
@@ -269,14 +272,14 @@
     clock.run(SECOND)
     assert ended == [133] and made.link.live == 0  # from 1 ms on at a third of the pace, from 50 ms on at all of it
     made.purge(-1, 10)
-    made.keep("aa", 0, model.Copy(5, 100.0, 2))
+    made.keep("aa", 0, server_model.Copy(5, 100.0, 2))
     assert made.find("aa", 0, 0) is None
-    made.keep("aa", 0, model.Copy(15, 100.0, 2))
+    made.keep("aa", 0, server_model.Copy(15, 100.0, 2))
     assert made.find("aa", 0, 0) is not None
 
 
 def test_concurrent_misses_join_one_fill_and_a_rank_protects_what_it_holds():
-    clock = far.Clock(0)
+    clock = simulation.Clock(0)
     made = server(clock, rating=50.0)
     ended = []
     for _ in range(5):
@@ -290,7 +293,7 @@
 
 
 def test_the_store_drops_a_keyed_repeat_within_its_span_only():
-    clock, effects = far.Clock(0), []
+    clock, effects = simulation.Clock(0), []
     made = server(clock)
     made.store.on_effect = effects.append
     for at in (0, 5, 13):
@@ -301,7 +304,7 @@
 
 
 def test_a_cold_server_is_slow_and_falls_when_far_too_much_is_asked():
-    clock, fell = far.Clock(0), []
+    clock, fell = simulation.Clock(0), []
     made = server(clock, rating=10.0, ramp_s=10.0)
     made.on_fall = fell.append
     made.started = clock.now() + 1
@@ -332,12 +335,12 @@
 
 
 def test_a_run_in_simulated_time_is_the_same_each_time_and_keeps_the_rules():
-    first, second = (far.play(small(seconds=4)) for _ in range(2))
+    first, second = (simulation.play(small(seconds=4)) for _ in range(2))
     for row in (first, second):
         for name in ("took_s", "us_a_txn", "memory_mb"):
             row.pop(name)
     assert first == second and first["passed"] and first["txns"] > 150
-    assert far.play(small(seconds=4, seed=6))["ticks"] != first["ticks"]
+    assert simulation.play(small(seconds=4, seed=6))["ticks"] != first["ticks"]
 
 
 def test_large_size_is_spread_over_locations():
@@ -346,13 +349,13 @@
         far={"routers": 12, "caches": 24, "zones": 3, "parents": 3},
         faults=[{"at": 1, "what": "die", "who": "caches", "share": 0.33, "lasts": 1}, {"at": 1.5, "what": "purge"}],
     )
-    found = far.play(plan)
+    found = simulation.play(plan)
     assert found["passed"] and found["size"]["caches"] == 24 and found["completed"] > 0.8, found["missed"]
 
 
 def test_a_fault_that_needs_sockets_is_named_in_simulated_time():
     with pytest.raises(operators.BadFile, match=r"faults\[0\].what: garble"):
-        far.play(small(faults=[{"at": 1, "what": "garble", "who": "caches"}]))
+        simulation.play(small(faults=[{"at": 1, "what": "garble", "who": "caches"}]))
 
 
 def test_a_body_that_is_cut_changed_or_another_s_is_not_taken():
@@ -459,13 +462,13 @@
     from rich.console import Console
 
     console = Console(record=True, width=140, force_terminal=True)
-    play.play(small(seconds=1.5, faults=[]), live=report.Live(console))
+    scenario_run.play(small(seconds=1.5, faults=[]), live=report.Live(console))
     assert "router 0" in (shown := console.export_text()) and "cache-3" in shown
 
 
 def test_a_router_that_does_not_come_up_is_reported():
-    with pytest.raises(play.LabFailed, match="did not come up"):
-        play.play(small(seconds=2, faults=[]), command=[sys.executable, "-c", "raise SystemExit(3)"])
+    with pytest.raises(scenario_run.LabFailed, match="did not come up"):
+        scenario_run.play(small(seconds=2, faults=[]), command=[sys.executable, "-c", "raise SystemExit(3)"])
 
 
 def test_restarts_and_moves_under_load_with_slow_and_bad_clients_lose_nothing():
@@ -490,7 +493,7 @@
             {"at": 4, "what": "board_break"},
         ],
     )
-    found = play.play(plan)
+    found = scenario_run.play(plan)
     assert found["passed"], found["missed"]
     assert found["completed"] > 0.8 and found["bad_clients"]["sent"] > 10 and not found["bad_clients"]["no_end"]
 
@@ -511,7 +514,7 @@
     for n, size in enumerate((100, 50, 1)):
         client.sendall(b"x" * size)
         loop.clock = (n + 1) * SECOND
-        queues.look([conn])
+        socket_queues.look([conn])
     loop.clock = 9 * SECOND
     conn.pause(False)
     conn.read(1000)
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from fieldspur.fleet import agree, words, work
-from fieldspur.lab.emulate.loop import Loop
-from fieldspur.lab.emulate.relay import Relay
-from fieldspur.lab.judge import report
-from fieldspur.lab.judge.check import Checker
-from fieldspur.lab.judge.orders import Orders
-from fieldspur.lab.plays import play, scenario
+from fieldspur.fleet import consensus, register_codec, work_orders
+from fieldspur.lab.checks import report
+from fieldspur.lab.checks.rule_checker import Checker
+from fieldspur.lab.checks.work_order_checker import Orders
+from fieldspur.lab.emulate.event_loop import Loop
+from fieldspur.lab.emulate.peer_links import Relay
+from fieldspur.lab.runs import scenario, scenario_run
 from fieldspur.operators import BadFile
 
 SMALL = {
@@ -40,11 +40,11 @@
     "expect": {"completed": 0.8, "orders": 0.5},
 }
 SABOTAGE = {
-    "it uses what is out": "from fieldspur.fleet.overlay import Overlay\nOverlay.shown = lambda self, row: row\n"
+    "it uses what is out": "from fieldspur.fleet.list_overlay import Overlay\nOverlay.shown = lambda self, row: row\n"
     "Overlay.doubted = lambda self, doubt: None\n",
-    "free too early": "from fieldspur.fleet.foreman import Foreman\nForeman.open_at = lambda *about: []\n",
-    "no bounds": "from fieldspur.fleet.plan import Park\nPark.forbids = lambda *about: ''\n",
-    "two documents": "from fieldspur.fleet.node import Node\nline = Node.line\n"
+    "free too early": "from fieldspur.fleet.coordinator import Foreman\nForeman.open_at = lambda *about: []\n",
+    "no bounds": "from fieldspur.fleet.planner import Park\nPark.forbids = lambda *about: ''\n",
+    "two documents": "from fieldspur.fleet.member import Node\nline = Node.line\n"
     "def other(self):\n    found = line(self)\n    value = found['register']['decided'][1]\n"
     "    if value and not self.foreman.acting:\n"
     "        found['register']['decided'][1] = (value[0], tuple((*o[:-1], 'mine') for o in value[1]), value[2])\n"
@@ -68,12 +68,15 @@
 @pytest.fixture(scope="module")
 def runs():
     start = "import sys\nfrom fieldspur.__main__ import main\nsys.exit(main())\n"
-    whole = play.play(small())
+    whole = scenario_run.play(small())
     with ThreadPoolExecutor(2) as pool:
         broken = dict(
             zip(
                 SABOTAGE,
-                pool.map(lambda code: play.play(small(faults=LATE), command=[sys.executable, "-O", "-c", code + start]), SABOTAGE.values()),
+                pool.map(
+                    lambda code: scenario_run.play(small(faults=LATE), command=[sys.executable, "-O", "-c", code + start]),
+                    SABOTAGE.values(),
+                ),
             )
         )
     return whole, broken
@@ -95,13 +98,13 @@
 
 
 def line(number, *orders, member=0, ended=()):
-    value = words.frozen(work.value(work.Work(number, tuple(orders), ended)))
-    register = agree.blank(member, 3, 5)._replace(life=1, promised=(1, 0), decided=agree.Said((1, 0, number), value))
-    return json.loads(json.dumps({"register": words.value(register)}))
+    value = register_codec.frozen(work_orders.value(work_orders.Work(number, tuple(orders), ended)))
+    register = consensus.blank(member, 3, 5)._replace(life=1, promised=(1, 0), decided=consensus.Said((1, 0, number), value))
+    return json.loads(json.dumps({"register": register_codec.value(register)}))
 
 
 def order(machine, state, at):
-    return work.Order(machine, "n0", machine, 1.0, 0.0, (), state, at)
+    return work_orders.Order(machine, "n0", machine, 1.0, 0.0, (), state, at)
 
 
 def test_the_judge_of_orders_by_itself():
@@ -109,19 +112,19 @@
     judge = Orders(checker, 3, lambda machine: held, 1)
     freed = []
     judge.on_free = lambda one: freed.append(one.machine)
-    judge.line(0, line(1, order("c0", work.GOING, 1)), 10, 100)
+    judge.line(0, line(1, order("c0", work_orders.GOING, 1)), 10, 100)
     assert checker.states["c0"] == ("up", 100)
-    judge.line(1, line(2, order("c0", work.OUT, 2), member=1), 10, 200)
+    judge.line(1, line(2, order("c0", work_orders.OUT, 2), member=1), 10, 200)
     assert checker.states["c0"] == ("draining", 200) and judge.acting == [(200, 0)]
-    judge.line(0, line(1, order("c0", work.GOING, 1)), 10, 300)  # one that was passed over tells nothing new
-    judge.line(0, line(3, order("c0", work.FREE, 3)), 10, 400)
+    judge.line(0, line(1, order("c0", work_orders.GOING, 1)), 10, 300)  # one that was passed over tells nothing new
+    judge.line(0, line(3, order("c0", work_orders.FREE, 3)), 10, 400)
     assert not judge.broken and freed == ["c0"]
-    judge.line(2, line(3, order("c0", work.OUT, 3), member=2), 10, 500)
+    judge.line(2, line(3, order("c0", work_orders.OUT, 3), member=2), 10, 500)
     assert judge.broken == ["document 3 is not the same at member 2"]
     held.append("txn")
-    judge.line(0, line(4, order("c0", work.BACK, 4), order("c1", work.FREE, 4)), 10, 600)
+    judge.line(0, line(4, order("c0", work_orders.BACK, 4), order("c1", work_orders.FREE, 4)), 10, 600)
     assert "c1 was said to be free with 1 open there" in judge.broken[1] and "2 machines away, 1 allowed" in judge.broken[2]
-    judge.line(0, line(5, ended=(work.Ended("c0", "c0", work.DONE, "", 5),)), 10, 700)
+    judge.line(0, line(5, ended=(work_orders.Ended("c0", "c0", work_orders.DONE, "", 5),)), 10, 700)
     assert judge.counts() == {"done": 1, "free": 1}
 
 
@@ -196,13 +199,13 @@
 @pytest.mark.parametrize("code", [NEVER_BACK, NEVER_THERE], ids=["never_back", "never_there"])
 def test_the_laboratory_gives_its_figures_whatever_the_routers_do(code):
     """Seen from outside: a play whose routers did not come back ended with code 1 and no figures."""
-    found = play.play(small(seconds=8), command=[sys.executable, "-O", "-c", code])
+    found = scenario_run.play(small(seconds=8), command=[sys.executable, "-O", "-c", code])
     assert not found["passed"] and found["crashed"] and found["completed"] > 0
 
 
 def test_a_fault_that_a_play_does_not_know_is_refused_by_its_key():
     with pytest.raises(BadFile, match=r"faults\[0\].what: watch_cut"):
-        play.play(small(faults=[{"at": 3, "what": "watch_cut", "who": "0", "lasts": 1}]))
+        scenario_run.play(small(faults=[{"at": 3, "what": "watch_cut", "who": "0", "lasts": 1}]))
 
 
 def test_a_disk_that_fails_is_played_and_costs_no_router():
@@ -212,6 +215,6 @@
         {"at": 4.3, "what": "router_kill", "who": "0,1", "lasts": 0.5},
     ]
     expect = {"completed": 0.8}
-    found = play.play(small(seconds=10, faults=faults, expect=expect, fleet=SMALL["fleet"] | {"folder": True, "work": []}))
+    found = scenario_run.play(small(seconds=10, faults=faults, expect=expect, fleet=SMALL["fleet"] | {"folder": True, "work": []}))
     assert found["passed"], found["missed"]
     assert found["calls_failed"]["disk"] > 0
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -10,9 +10,9 @@
 from test_first_bytes import route_to, row
 
 from fieldspur.decide import MS, SECOND
-from fieldspur.net.board import ListChange
+from fieldspur.net.discovery import ListChange
 from fieldspur.net.logs import ReasonCounter, error_fields
-from fieldspur.net.wheel import NEVER
+from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import CloseReason
 from fieldspur.record import replace
 
--- a/tests/test_names_that_never_come_again.py
+++ b/tests/test_names_that_never_come_again.py
@@ -5,8 +5,8 @@
 
 from helpers import settings
 
-from fieldspur.fleet.overlay import Overlay
-from fieldspur.net.board import ListChange, Listed
+from fieldspur.fleet.list_overlay import Overlay
+from fieldspur.net.discovery import ListChange, Listed
 from fieldspur.site import deployment
 
 STANDING, GONE_KEPT = 20, 256
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -19,17 +19,17 @@
 
 from fieldspur.bench import count, start
 from fieldspur.host import RESULTS
-from fieldspur.net import frames, now, resp
-from fieldspur.net import holds as holding
-from fieldspur.net.board import ListChange, Listed
-from fieldspur.net.book import Answer, Book, Txn
-from fieldspur.net.lane import Hop
-from fieldspur.net.relay import Outlet, Relay
-from fieldspur.net.route import Route
-from fieldspur.net.send import Send
-from fieldspur.net.takein import encode
-from fieldspur.net.wheel import NEVER, SHIFT, Wheel
-from fieldspur.net.window import Window
+from fieldspur.net import frames, nonblocking, resp
+from fieldspur.net import invariants as holding
+from fieldspur.net.client_listener import encode
+from fieldspur.net.client_writer import Outlet, Relay
+from fieldspur.net.connection_pool import Send
+from fieldspur.net.discovery import ListChange, Listed
+from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.receive_buffer import Window
+from fieldspur.net.router_host import Route
+from fieldspur.net.server_connection import Hop
+from fieldspur.net.timer_wheel import NEVER, SHIFT, Wheel
 from fieldspur.record import made, record, replace
 from fieldspur.site import MS, deployment
 
@@ -129,18 +129,18 @@
 
 
 def test_a_write_that_can_not_wait_tells_what_is_left(monkeypatch):
-    for raw in (now.raw, None):
-        monkeypatch.setattr(now, "raw", raw)
+    for raw in (nonblocking.raw, None):
+        monkeypatch.setattr(nonblocking, "raw", raw)
         here, there = socket.socketpair()
         here.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
         data = b"x" * 1_000_000
-        left = now.write_now(here, (data,))
+        left = nonblocking.write_now(here, (data,))
         assert 0 < sum(map(len, left)) < len(data)
-        assert now.write_now(here, left) == left or sum(map(len, left))  # full: nothing goes, nothing waits
+        assert nonblocking.write_now(here, left) == left or sum(map(len, left))  # full: nothing goes, nothing waits
         there.close()
         with pytest.raises(OSError):
             for _ in range(3):
-                now.write_now(here, (data,))
+                nonblocking.write_now(here, (data,))
         here.close()
 
 
@@ -475,9 +475,9 @@
 
 PLANTS = {
     "": "",
-    "copies_to_a_quick_client": "from fieldspur.net.relay import Outlet\nput = Outlet.put\n"
+    "copies_to_a_quick_client": "from fieldspur.net.client_writer import Outlet\nput = Outlet.put\n"
     "Outlet.put = lambda self, data: put(self, (b''.join(data),))\n",
-    "threads": "import queue, threading\nfrom fieldspur.net.route import Route\npost, line = Route.post, queue.Queue()\n"
+    "threads": "import queue, threading\nfrom fieldspur.net.router_host import Route\npost, line = Route.post, queue.Queue()\n"
     "Route.post = lambda self, *about: line.put((self, about))\n"
     "def run():\n    while True:\n        self, about = line.get()\n        post(self, *about)\n"
     "def begin(self, old=Route.run):\n    threading.Thread(target=run, daemon=True).start()\n    old(self)\n"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,18 +13,18 @@
 
 from fieldspur.__main__ import Service as Whole
 from fieldspur.host import RESULTS
-from fieldspur.net import holds as holding
+from fieldspur.net import invariants as holding
 from fieldspur.net import resp
-from fieldspur.net.admit import Admit
-from fieldspur.net.board import Board, Gap, ListChange, Listed
-from fieldspur.net.book import Answer, Book, Txn
+from fieldspur.net.admission import Admit
+from fieldspur.net.client_listener import Client as ClientSide
+from fieldspur.net.client_listener import TakeIn, encode
+from fieldspur.net.client_writer import Outlet, Relay
+from fieldspur.net.connection_pool import Send
+from fieldspur.net.discovery import Board, Gap, ListChange, Listed
 from fieldspur.net.frames import Request
-from fieldspur.net.lane import Hop
-from fieldspur.net.relay import Outlet, Relay
-from fieldspur.net.route import Route
-from fieldspur.net.send import Send
-from fieldspur.net.takein import Client as ClientSide
-from fieldspur.net.takein import TakeIn, encode
+from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.router_host import Route
+from fieldspur.net.server_connection import Hop
 from fieldspur.record import replace
 from fieldspur.site import MS, deployment, read_node
 
@@ -507,7 +507,7 @@
     with pytest.raises(AssertionError):
         holding.holds(False, "a thing")
     code = (
-        "from fieldspur.net import logs, holds as h; logs.begin()\n"
+        "from fieldspur.net import logs, invariants as h; logs.begin()\n"
         "print(h.holds(True, 'a'), h.holds(False, 'b', n=1), h.holds(False, 'b'), h.broken)"
     )
     done = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, timeout=20)
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -13,9 +13,9 @@
 
 from fieldspur.decide import MS
 from fieldspur.lab.soak import shim
-from fieldspur.net.board import SILENCE, WAIT_HEARD
-from fieldspur.net.holds import contained
-from fieldspur.net.lane import LOOK_BOARD, Hop, keep_little
+from fieldspur.net.discovery import SILENCE, WAIT_HEARD
+from fieldspur.net.invariants import contained
+from fieldspur.net.server_connection import LOOK_BOARD, Hop, keep_little
 from fieldspur.record import replace
 
 
@@ -167,7 +167,7 @@
     """Seen with 36 routers on one core, and here each time: a router is stopped, a request comes, 0.6 s later another, and it goes on. Both
     were read at once, and TCP_INFO told 0 ms, for it tells of the last bytes alone (time stamps too: the kernel joins what lies there).
     The first passed on 2474 of its 2500 ms, with 1900 left. Its reader now dates it no later than the last tick of the sweep before the
-    stop, which the late tick after it names, or by its own wait for a core (`fieldspur/net/arrival.py`)."""
+    stop, which the late tick after it names, or by its own wait for a core (`fieldspur/net/arrival_times.py`)."""
     service = run(cache := Cache(lambda want: None))
     client = service.client()
     pause(service.process)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from fieldspur.lab.judge.check import MS, SECOND, Try
-from fieldspur.lab.judge.invariants import Invariants, slow_start_bound
+from fieldspur.lab.checks.invariants import Invariants, slow_start_bound
+from fieldspur.lab.checks.rule_checker import MS, SECOND, Try
 from fieldspur.lab.soak import plan, play
 
 PLANTED = {  # by the invariant that has to find it
     "deadline": "from fieldspur.net import resp\nwant = resp.want\n"
     "def late(one):\n    one.limit_ms += 400\n    return want(one)\nresp.want = late\n",
-    "final_answer": "from fieldspur.net.relay import Outlet\nanswer = Outlet.answer\n"
+    "final_answer": "from fieldspur.net.client_writer import Outlet\nanswer = Outlet.answer\n"
     "Outlet.answer = lambda self, stream, *about, **more: stream % 7 and answer(self, stream, *about, **more)\n",
 }
 START = "import sys\nfrom fieldspur.__main__ import main\nsys.exit(main())\n"
@@ -119,7 +119,7 @@
 
 
 def test_a_peer_that_leaves_bytes_unread_is_told_from_one_that_closes():
-    from fieldspur.lab.emulate.loop import Loop
+    from fieldspur.lab.emulate.event_loop import Loop
 
     loop, told = Loop(), {}
     for unread in (True, False):
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -11,7 +11,7 @@
 from helpers import Cache, Client, Notices, endpoint, until
 
 from fieldspur.bench.path import free_port
-from fieldspur.net.board import SILENCE
+from fieldspur.net.discovery import SILENCE
 
 HIT = ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"bytes")
 
