--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -15,7 +15,7 @@
 from fieldspur.net.admission import Admit
 from fieldspur.net.client_listener import TakeIn
 from fieldspur.net.client_writer import Relay
-from fieldspur.net.connection_pool import Send
+from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import Board
 from fieldspur.net.invariants import asked_again, contained, keep_running
 from fieldspur.net.nonblocking import EPOCH
@@ -58,7 +58,7 @@
         self.book = Book()
         # Descriptors: half for clients, who hold a third at most, a quarter for servers, the rest in reserve. A
         # connection to a server takes up to 0.6 MB, as measured: together they get under a third of the memory.
-        self.send = Send(site, self.book, self.relay, min(node.sockets // 4, node.memory // LANE_MEMORY))
+        self.send = ConnectionPool(site, self.book, self.relay, min(node.sockets // 4, node.memory // LANE_MEMORY))
         self.route = Route(site, node.seed, self.book, self.relay, self.send)
         overlay = None
         if wishes.fleet.name:  # off by default; only then is any of it imported
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -22,7 +22,7 @@
 LOOK_IDLE = 20 * MS  # a connection on which nothing came for that long may have been closed meanwhile
 
 
-class Send:
+class ConnectionPool:
     """All connections to servers. Under the Router's lock things are only put into queues here."""
 
     def __init__(self, site: Deployment, book: Book, relay: Relay, most_lanes: int):
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -12,7 +12,7 @@
 from fieldspur.host import RESULTS
 from fieldspur.net import resp
 from fieldspur.net.client_writer import Relay
-from fieldspur.net.connection_pool import Send
+from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, Purge
 from fieldspur.net.invariants import contained, holds
 from fieldspur.net.nonblocking import EPOCH, latest_time_of
@@ -39,7 +39,7 @@
 
 
 class Route:
-    def __init__(self, site: Deployment, seed: int, book: Book, relay: Relay, send: Send):
+    def __init__(self, site: Deployment, seed: int, book: Book, relay: Relay, send: ConnectionPool):
         self.site, self.book, self.relay, self.sender = site, book, relay, send
         send.route = self
         self.queue: deque = deque()  # bounded by most_queued and the open txns
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -21,7 +21,7 @@
 
 TYPE_CHECKING = False  # as typing has it, which a start does not load
 if TYPE_CHECKING:
-    from fieldspur.net.connection_pool import Send
+    from fieldspur.net.connection_pool import ConnectionPool
 
 log = logging.getLogger("fieldspur.send")
 MOST_AT_ONCE, JOIN = 16, 4096  # messages in one write; longer buffers are not joined with others
@@ -92,7 +92,7 @@
     """One connection to a server. Its own thread connects and reads. What goes out is written at once, without waiting,
     by the thread that has it; only what the socket does not take is left to a thread made for that."""
 
-    def __init__(self, send: Send, server: str, address: tuple[str, int], patient: bool = False):
+    def __init__(self, send: ConnectionPool, server: str, address: tuple[str, int], patient: bool = False):
         """Raises OSError where the system gives no socket now, unless `patient`: then that is tried again while it dials."""
         self.send, self.server, self.address = send, server, address
         self.queue: deque = deque()  # hops to be written; bounded by the hops open here
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,7 @@
 from fieldspur.decide import MS, SECOND, Collapsing, Fleet, Purges, Router
 from fieldspur.host import HIT, JOINED, NEVER_RAN, PAST_FRESH, RemapRule
 from fieldspur.net.client_writer import Relay
-from fieldspur.net.connection_pool import Send
+from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.nonblocking import EPOCH
 from fieldspur.net.open_txns import Book
 from fieldspur.net.server_connection import Lane
@@ -647,7 +647,7 @@
     if book is None:
         book = Book()
         book.open = Standing()
-    send = Send(deployment(settings()), book, relay, lanes)
+    send = ConnectionPool(deployment(settings()), book, relay, lanes)
     send.route = Events()
     for name, where in {"c0": address, **others}.items():
         host, port = where.split(":")
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -23,7 +23,7 @@
 from fieldspur.net import invariants as holding
 from fieldspur.net.client_listener import encode
 from fieldspur.net.client_writer import Outlet, Relay
-from fieldspur.net.connection_pool import Send
+from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, Listed
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.receive_buffer import Window
@@ -277,7 +277,7 @@
 
 def plain_route():
     site = deployment(settings())
-    return Route(site, 1, Book(), Relay(1 << 20), Send(site, Book(), Relay(1 << 20), 4))
+    return Route(site, 1, Book(), Relay(1 << 20), ConnectionPool(site, Book(), Relay(1 << 20), 4))
 
 
 def test_events_of_many_threads_are_handled_once_each_by_one_caller_at_a_time():
@@ -334,7 +334,7 @@
     other in a generated order, from several threads."""
     chance, site = random.Random(seed), deployment(settings())
     book, relay = Book(), Relay(1 << 20)
-    send = Send(site, book, relay, 4)
+    send = ConnectionPool(site, book, relay, 4)
     route = Route(site, 1, book, relay, send)
     answered = {}
     lanes = SimpleNamespace(pump=lambda: None, drop=lambda hop, at: None)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,7 +19,7 @@
 from fieldspur.net.client_listener import Client as ClientSide
 from fieldspur.net.client_listener import TakeIn, encode
 from fieldspur.net.client_writer import Outlet, Relay
-from fieldspur.net.connection_pool import Send
+from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import Board, Gap, ListChange, Listed
 from fieldspur.net.frames import Request
 from fieldspur.net.open_txns import Answer, Book, Txn
@@ -566,7 +566,7 @@
 
 
 def test_a_lag_is_forgotten_with_time_whatever_the_traffic():
-    route = Route(deployment(settings()), 1, Book(), Relay(1 << 20), Send(deployment(settings()), None, None, 1))
+    route = Route(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.waited(800 * MS)
     route.clock += 2000 * MS
     route.waited(0)
@@ -597,7 +597,7 @@
 def test_an_answer_is_owed_until_it_is_with_its_connection():
     """Found at a restart: the book was empty, and the program ended before its last answer was written."""
     relay, book, seen = Relay(1 << 20), Book(), []
-    send = Send(deployment(settings()), book, relay, 4)
+    send = ConnectionPool(deployment(settings()), book, relay, 4)
     send.route = Events()
     outlet = SimpleNamespace(answer=lambda *about: seen.append((relay.done(), dict(book.open))))
     book.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, outlet, 1))
@@ -641,7 +641,7 @@
 
 def test_a_router_that_runs_behind_takes_that_off_the_time_limit_and_then_refuses():
     here, there = socket.socketpair()
-    route = Route(deployment(settings()), 1, Book(), Relay(1 << 20), Send(deployment(settings()), None, None, 1))
+    route = Route(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
     admit, outlet = Admit(route.site, route.book, route, 1000), Outlet(here, encode, route.relay)
