--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -13,7 +13,7 @@
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import EPOCH
 from fieldspur.net.open_txns import Answer, Book
-from fieldspur.net.server_connection import ConnectionEnd, Hop, Lane
+from fieldspur.net.server_connection import ConnectionEnd, Hop, ServerConnection
 from fieldspur.permissions import AttemptRules, Refusal
 from fieldspur.site import MS, Deployment
 
@@ -35,7 +35,7 @@
         self.outstanding: dict[int, Hop] = {}  # the attempt of each request that has gone out and has not ended
         self.broke = 0  # when a connection last broke under hops
         self.lock = threading.Lock()
-        self.lanes: dict[str, list[Lane]] = {}
+        self.lanes: dict[str, list[ServerConnection]] = {}
         self.servers = self.rules.endpoints
         # One hop outstanding at a time: by txn, the one given up of which its server was not told yet, and the next, which waits.
         self.untold: dict[int, Hop] = {}
@@ -56,7 +56,7 @@
         for lane in lanes:
             lane.look()
 
-    def hop(self, hop: Hop) -> Lane | None:
+    def hop(self, hop: Hop) -> ServerConnection | None:
         """The hop waits in the lane given back, to be pumped; its end is reported later, whatever happens."""
         lanes = self.lanes.get(hop.server, ())[:2]  # a copy: another thread may take one out
         if len(lanes) == 1 and not self.broke and hop.server in self.servers and lanes[0].put(hop, sure=False):
@@ -68,7 +68,7 @@
             if lane.put(hop):
                 return lane
 
-    def lane_for(self, hop: Hop) -> Lane | None:
+    def lane_for(self, hop: Hop) -> ServerConnection | None:
         with self.lock:
             endpoint = self.servers.get(hop.server)  # once: discovery's thread may remove it at any moment
             if endpoint is None:
@@ -83,7 +83,7 @@
                 log.warning("lanes_full", extra={"kv": {"server": hop.server, "lanes": self.most_lanes}})
                 return None
             try:
-                lanes.append(Lane(self, hop.server, endpoint.address, patient=best is None))
+                lanes.append(ServerConnection(self, hop.server, endpoint.address, patient=best is None))
             except (RuntimeError, OSError) as wrong:  # the system gives no further thread or descriptor
                 log.error("no_lane", extra={"kv": {"server": hop.server, "why": str(wrong)}})
                 return best
@@ -96,7 +96,7 @@
         with self.lock:
             return self.many()
 
-    def lane_ended(self, lane: Lane) -> None:
+    def lane_ended(self, lane: ServerConnection) -> None:
         with self.lock:
             lanes = self.lanes.get(lane.server, [])
             if lane in lanes:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -73,7 +73,7 @@
     started: int = 0  # start of the server's process that it was decided for, as discovery told it; the same of the source's
     source_started: int = 0
     address: tuple[str, int] | None = None  # that its connection leads to
-    lane: Lane | None = None
+    lane: ServerConnection | None = None
     written: int = 0  # when it went out, 0 before
     ended: bool = False
     waited: int = 0  # since when for its client's reader, the last time
@@ -88,7 +88,7 @@
         pass  # not of this system; then up to a socket's buffer goes out by what was right when it was written
 
 
-class Lane:
+class ServerConnection:
     """One connection to a server. Its own thread connects and reads. What goes out is written at once, without waiting,
     by the thread that has it; only what the socket does not take is left to a thread made for that."""
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -19,7 +19,7 @@
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.nonblocking import EPOCH
 from fieldspur.net.open_txns import Book
-from fieldspur.net.server_connection import Lane
+from fieldspur.net.server_connection import ServerConnection
 from fieldspur.site import deployment
 
 COLD, RAMP, MULTIPLE, SPAN = 0.2, 10 * SECOND, 2.0, SECOND
@@ -636,8 +636,8 @@
 
 def readers_held(monkeypatch):
     """From now on, connections to servers are read only once the event given back is set: their threads have not had the core."""
-    reading, held = Lane.read, threading.Event()
-    monkeypatch.setattr(Lane, "read", lambda lane: (held.wait(10), reading(lane)))
+    reading, held = ServerConnection.read, threading.Event()
+    monkeypatch.setattr(ServerConnection, "read", lambda lane: (held.wait(10), reading(lane)))
     return held
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -34,7 +34,7 @@
 from fieldspur.net.connection_pool import LOOK_CLIENT
 from fieldspur.net.nonblocking import looks_at
 from fieldspur.net.open_txns import Answer, Book, Txn
-from fieldspur.net.server_connection import Hop, Lane
+from fieldspur.net.server_connection import Hop, ServerConnection
 
 ACK = ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"bytes")
 
@@ -653,7 +653,7 @@
     held, cache = readers_held(monkeypatch), Cache(lambda want: None)
     send = sender(cache.address, book=Book())
     hop = taken(send, stays(send))
-    first = Lane(send, "c0", send.servers["c0"].address)
+    first = ServerConnection(send, "c0", send.servers["c0"].address)
     send.lanes["c0"] = [first]
     until(lambda: first.ready and cache.conns)
     cache.reset() if how == "resets" else cache.conns[0].shutdown(socket.SHUT_WR)
