--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -20,7 +20,7 @@
 from fieldspur.net.invariants import asked_again, contained, keep_running
 from fieldspur.net.nonblocking import EPOCH
 from fieldspur.net.open_txns import Book
-from fieldspur.net.router_host import Route
+from fieldspur.net.router_host import RouterHost
 from fieldspur.operators import BadFile, Operators, UnopenedFile, read
 from fieldspur.permissions import Gate, GiveUp, may_exit
 from fieldspur.record import replace
@@ -59,7 +59,7 @@
         # Descriptors: half for clients, who hold a third at most, a quarter for servers, the rest in reserve. A
         # connection to a server takes up to 0.6 MB, as measured: together they get under a third of the memory.
         self.send = ConnectionPool(site, self.book, self.relay, min(node.sockets // 4, node.memory // LANE_MEMORY))
-        self.route = Route(site, node.seed, self.book, self.relay, self.send)
+        self.route = RouterHost(site, node.seed, self.book, self.relay, self.send)
         overlay = None
         if wishes.fleet.name:  # off by default; only then is any of it imported
             if node.name not in wishes.fleet.members:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -38,7 +38,7 @@
     busy = False  # this thread is in `work`
 
 
-class Route:
+class RouterHost:
     def __init__(self, site: Deployment, seed: int, book: Book, relay: Relay, send: ConnectionPool):
         self.site, self.book, self.relay, self.sender = site, book, relay, send
         send.route = self
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -23,9 +23,9 @@
 # What fails: module and class, method, its arguments, each how many calls; and where it is to be contained.
 PLANTED = {
     "a connection is looked for": (("connection_pool", "ConnectionPool", "lane_for", "self, hop", 2), "event"),
-    "an attempt's end is decided on": (("router_host", "Route", "hop_ended", "self, *about", 3), "event"),
-    "a request is decided on": (("router_host", "Route", "arrived", "self, txn", 3), "event"),
-    "an attempt is handed over": (("router_host", "Route", "go", "self, hop", 3), "event"),
+    "an attempt's end is decided on": (("router_host", "RouterHost", "hop_ended", "self, *about", 3), "event"),
+    "a request is decided on": (("router_host", "RouterHost", "arrived", "self, txn", 3), "event"),
+    "an attempt is handed over": (("router_host", "RouterHost", "go", "self, hop", 3), "event"),
     "a request is read": (("admission", "Admit", "request", "self, *about", 5), "client"),
     "answers of a server are read": (("server_connection", "ServerConnection", "replies", "self, *about", 5), "connection"),
     "an attempt is looked at before its write": (("connection_pool", "ConnectionPool", "begin", "self, hop", 5), "write"),
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -13,7 +13,7 @@
 from fieldspur.net import resp
 from fieldspur.net.discovery import Board, ListChange, Listed
 from fieldspur.net.nonblocking import looks_at
-from fieldspur.net.router_host import MOST_QUEUED, Route
+from fieldspur.net.router_host import MOST_QUEUED, RouterHost
 from fieldspur.net.server_connection import Hop
 from fieldspur.permissions import Gate
 from fieldspur.site import MS
@@ -322,7 +322,7 @@
 
 def route_to(cache):
     send = sender(cache.address)
-    route = Route(send.site, 1, send.book, send.relay, send)
+    route = RouterHost(send.site, 1, send.book, send.relay, send)
     route.list_told(ListChange(True, (row(cache, "up"),)), now=True)
     return send, route
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -27,7 +27,7 @@
 from fieldspur.net.discovery import ListChange, Listed
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.receive_buffer import Window
-from fieldspur.net.router_host import Route
+from fieldspur.net.router_host import RouterHost
 from fieldspur.net.server_connection import Hop
 from fieldspur.net.timer_wheel import NEVER, SHIFT, Wheel
 from fieldspur.record import made, record, replace
@@ -277,7 +277,7 @@
 
 def plain_route():
     site = deployment(settings())
-    return Route(site, 1, Book(), Relay(1 << 20), ConnectionPool(site, Book(), Relay(1 << 20), 4))
+    return RouterHost(site, 1, Book(), Relay(1 << 20), ConnectionPool(site, Book(), Relay(1 << 20), 4))
 
 
 def test_events_of_many_threads_are_handled_once_each_by_one_caller_at_a_time():
@@ -335,7 +335,7 @@
     chance, site = random.Random(seed), deployment(settings())
     book, relay = Book(), Relay(1 << 20)
     send = ConnectionPool(site, book, relay, 4)
-    route = Route(site, 1, book, relay, send)
+    route = RouterHost(site, 1, book, relay, send)
     answered = {}
     lanes = SimpleNamespace(pump=lambda: None, drop=lambda hop, at: None)
     hops = {}
@@ -477,11 +477,11 @@
     "": "",
     "copies_to_a_quick_client": "from fieldspur.net.client_writer import Outlet\nput = Outlet.put\n"
     "Outlet.put = lambda self, data: put(self, (b''.join(data),))\n",
-    "threads": "import queue, threading\nfrom fieldspur.net.router_host import Route\npost, line = Route.post, queue.Queue()\n"
-    "Route.post = lambda self, *about: line.put((self, about))\n"
+    "threads": "import queue, threading\nfrom fieldspur.net.router_host import RouterHost\npost, line = RouterHost.post, queue.Queue()\n"
+    "RouterHost.post = lambda self, *about: line.put((self, about))\n"
     "def run():\n    while True:\n        self, about = line.get()\n        post(self, *about)\n"
-    "def begin(self, old=Route.run):\n    threading.Thread(target=run, daemon=True).start()\n    old(self)\n"
-    "Route.run = begin\n",
+    "def begin(self, old=RouterHost.run):\n    threading.Thread(target=run, daemon=True).start()\n    old(self)\n"
+    "RouterHost.run = begin\n",
     "peak_bytes": "from fieldspur.net.resp import Decoder\nfilled = Decoder.filled\n"
     "def more(self, size):\n    held = bytearray(65536)\n    yield from filled(self, size)\n"
     "Decoder.filled = more\n",
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -23,7 +23,7 @@
 from fieldspur.net.discovery import Board, Gap, ListChange, Listed
 from fieldspur.net.frames import Request
 from fieldspur.net.open_txns import Answer, Book, Txn
-from fieldspur.net.router_host import Route
+from fieldspur.net.router_host import RouterHost
 from fieldspur.net.server_connection import Hop
 from fieldspur.record import replace
 from fieldspur.site import MS, deployment, read_node
@@ -566,7 +566,7 @@
 
 
 def test_a_lag_is_forgotten_with_time_whatever_the_traffic():
-    route = Route(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
+    route = RouterHost(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.waited(800 * MS)
     route.clock += 2000 * MS
     route.waited(0)
@@ -641,7 +641,7 @@
 
 def test_a_router_that_runs_behind_takes_that_off_the_time_limit_and_then_refuses():
     here, there = socket.socketpair()
-    route = Route(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
+    route = RouterHost(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
     admit, outlet = Admit(route.site, route.book, route, 1000), Outlet(here, encode, route.relay)
@@ -660,7 +660,7 @@
     quiet = Listener()
     here, there = socket.socketpair()
     send = sender(quiet.address)
-    route = Route(send.site, 1, send.book, send.relay, send)
+    route = RouterHost(send.site, 1, send.book, send.relay, send)
     row = Listed("c0", send.servers["c0"].address, "east", "std", 0, "up", 50.0, 0)
     route.list_told(ListChange(True, (row,)), now=True)
     outlet = Outlet(here, encode, route.relay)
