--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -16,7 +16,7 @@
 from fieldspur.net.client_listener import TakeIn
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
-from fieldspur.net.discovery import Board
+from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import asked_again, contained, keep_running
 from fieldspur.net.nonblocking import EPOCH
 from fieldspur.net.open_txns import Book
@@ -67,7 +67,7 @@
             from fieldspur.fleet.list_overlay import Overlay
 
             overlay = Overlay(self.route)
-        self.board = self.send.board = Board(node.board, overlay or self.route, node.seed)
+        self.board = self.send.board = DiscoveryClient(node.board, overlay or self.route, node.seed)
         self.board.begin(node.known, node.known_to)
         self.takein = TakeIn(
             node.listen,
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -19,7 +19,7 @@
 from fieldspur.fleet.member import Node
 from fieldspur.fleet.register_store import NotKept, NotRead, Store
 from fieldspur.fleet.work_requests import wishes_of
-from fieldspur.net.discovery import Board
+from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import contained, keep_running
 from fieldspur.operators import Fleet, member
 from fieldspur.record import replace
@@ -39,7 +39,7 @@
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
-class Peer(Board):
+class Peer(DiscoveryClient):
     """Another member's lines, by the board's reader. `number` among those that settle, or the name of one that follows."""
 
     def __init__(self, talk: Talk, number: int | str, where: tuple[str, int], seed: int):
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -66,7 +66,7 @@
     """Events are missing before this one."""
 
 
-class Board:
+class DiscoveryClient:
     """Reads the board and hands each event on once, in order."""
 
     def __init__(self, where: tuple[str, int], route, seed: int):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -23,7 +23,7 @@
 from fieldspur.net import server_connection as lane_module
 from fieldspur.net.client_listener import Client as ClientSide
 from fieldspur.net.client_writer import Relay
-from fieldspur.net.discovery import Board, ListChange
+from fieldspur.net.discovery import DiscoveryClient, ListChange
 from fieldspur.net.nonblocking import looks_at
 from fieldspur.net.open_txns import Answer, Book
 from fieldspur.record import replace
@@ -245,7 +245,7 @@
     connection that was to be written to."""
     monkeypatch.setattr(board_module, "SILENCE", 0.3)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        board = Board(listener.getsockname(), SimpleNamespace(gather=lambda: None, handle=lambda: None), 1)
+        board = DiscoveryClient(listener.getsockname(), SimpleNamespace(gather=lambda: None, handle=lambda: None), 1)
         threading.Thread(target=lambda: pytest.raises(TimeoutError, board.watch), daemon=True).start()
         there, real = listener.accept()[0], until(lambda: board.sock)
         assert there.recv(100) == b"watch 0\n"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,7 +20,7 @@
 from fieldspur.net.client_listener import TakeIn, encode
 from fieldspur.net.client_writer import Outlet, Relay
 from fieldspur.net.connection_pool import ConnectionPool
-from fieldspur.net.discovery import Board, Gap, ListChange, Listed
+from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, Listed
 from fieldspur.net.frames import Request
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.router_host import RouterHost
@@ -617,7 +617,7 @@
 
 def test_a_change_of_the_list_may_hold_only_what_has_changed():
     told = []
-    board = Board(("127.0.0.1", 1), SimpleNamespace(list_told=lambda change, now: told.append(change)), 1)
+    board = DiscoveryClient(("127.0.0.1", 1), SimpleNamespace(list_told=lambda change, now: told.append(change)), 1)
     whole = endpoint("c0", "127.0.0.1:5")
     board.begin(
         [
@@ -699,7 +699,7 @@
 
 def test_the_board_is_caught_up_only_once_it_says_a_last_number_that_the_router_has():
     """Found on herd+mass: restarted routers were ready on their file's list and named a draining parent 7 ms later."""
-    board = Board(("127.0.0.1", 1), None, 1)
+    board = DiscoveryClient(("127.0.0.1", 1), None, 1)
     board.last = 5
     with pytest.raises(Gap):
         board.line(b"7")  # events 6 and 7 are missing
