--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -11,7 +11,7 @@
 from fieldspur.decide import Fleet
 from fieldspur.fleet.coordinator import COLD, EJECTED, MOST_LOADS, WELL
 from fieldspur.fleet.work_orders import Listing
-from fieldspur.net.discovery import ListChange, Listed
+from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.permissions import Shut
 from fieldspur.record import replace
 from fieldspur.site import MS
@@ -34,7 +34,7 @@
         kinds, fleet = self.site.kinds, self.site.fleet
         self.kinds = {name: "parent" if n == fleet["parent_kind"] else "cache" for n, name in enumerate(kinds) if n != fleet["origin_kind"]}
         self.lock = threading.Lock()
-        self.rows: dict[str, Listed] = {}
+        self.rows: dict[str, ListedServer] = {}
         self.gone: dict[str, None] = {}  # names of those rows that are gone, in the order in which they went
         self.off: frozenset = frozenset()
         self.back: dict[str, int] = {}  # machine: Unix ns at which it was heard to be back
@@ -69,7 +69,7 @@
             self.forget_gone()
             self.route.list_told(ListChange(change.complete, tuple(map(self.shown, change.servers))), now)
 
-    def listing(self, row: Listed) -> Listing:
+    def listing(self, row: ListedServer) -> Listing:
         kind = self.kinds.get(row.kind, "") if row.zone in self.site.zones else ""
         return Listing(row.state, row.started // MS, "%s:%d" % row.address, row.zone, kind, row.rating)
 
@@ -82,7 +82,7 @@
                 del self.gone[name], self.rows[name], self.listings[name]
                 self.back.pop(name, None)
 
-    def shown(self, row: Listed) -> Listed:
+    def shown(self, row: ListedServer) -> ListedServer:
         if row.state == "up" and row.name in self.off:
             return replace(row, state="draining")
         return replace(row, started=self.back[row.name]) if self.back.get(row.name, 0) > row.started else row
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -23,7 +23,7 @@
 
 
 @record(frozen=True)
-class Listed:
+class ListedServer:
     name: str
     address: tuple[str, int]
     zone: str
@@ -37,7 +37,7 @@
 @record(frozen=True)
 class ListChange:
     complete: bool
-    servers: tuple[Listed, ...]
+    servers: tuple[ListedServer, ...]
 
 
 @record(frozen=True)
@@ -47,10 +47,10 @@
     at: int
 
 
-def listed(row: Part) -> Listed:
+def listed(row: Part) -> ListedServer:
     state = row.chosen("status", STATES, "up")
     gone = state == "gone"
-    return Listed(
+    return ListedServer(
         row.text("name"),
         address(row.text("address", "-:1" if gone else ""), row.at("address")),
         row.text("zone", ""),
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -11,7 +11,7 @@
 from test_path import go, want
 
 from fieldspur.net import resp
-from fieldspur.net.discovery import DiscoveryClient, ListChange, Listed
+from fieldspur.net.discovery import DiscoveryClient, ListChange, ListedServer
 from fieldspur.net.nonblocking import looks_at
 from fieldspur.net.router_host import MOST_QUEUED, RouterHost
 from fieldspur.net.server_connection import Hop
@@ -329,7 +329,7 @@
 
 def row(cache, state):
     host, port = cache.address.split(":")
-    return Listed("c0", (host, int(port)), "east", "std", 0, state, 50.0, 0)
+    return ListedServer("c0", (host, int(port)), "east", "std", 0, state, 50.0, 0)
 
 
 @pytest.mark.parametrize("what", ["list", "purge"])
--- a/tests/test_names_that_never_come_again.py
+++ b/tests/test_names_that_never_come_again.py
@@ -6,7 +6,7 @@
 from helpers import settings
 
 from fieldspur.fleet.list_overlay import Overlay
-from fieldspur.net.discovery import ListChange, Listed
+from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.site import deployment
 
 STANDING, GONE_KEPT = 20, 256
@@ -20,7 +20,7 @@
 
 
 def listed(name, state="up"):
-    return Listed(name, ("127.0.0.1", 7), "east", "std", 0, state, 50.0, 0)
+    return ListedServer(name, ("127.0.0.1", 7), "east", "std", 0, state, 50.0, 0)
 
 
 def renamed(found, count):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -24,7 +24,7 @@
 from fieldspur.net.client_listener import encode
 from fieldspur.net.client_writer import Outlet, Relay
 from fieldspur.net.connection_pool import ConnectionPool
-from fieldspur.net.discovery import ListChange, Listed
+from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.receive_buffer import Window
 from fieldspur.net.router_host import RouterHost
@@ -354,7 +354,7 @@
 
     send.hop = hop_out
     outlet, streams, withdrawn = Taking(), {}, set()
-    rows = tuple(Listed(f"c{n}", ("127.0.0.1", 1), "east", "std", 0, "up", 500.0, 0) for n in range(3))
+    rows = tuple(ListedServer(f"c{n}", ("127.0.0.1", 1), "east", "std", 0, "up", 500.0, 0) for n in range(3))
     route.list_told(ListChange(True, rows), now=True)
     count_of = 5_000
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,7 +20,7 @@
 from fieldspur.net.client_listener import TakeIn, encode
 from fieldspur.net.client_writer import Outlet, Relay
 from fieldspur.net.connection_pool import ConnectionPool
-from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, Listed
+from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, ListedServer
 from fieldspur.net.frames import Request
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.router_host import RouterHost
@@ -661,7 +661,7 @@
     here, there = socket.socketpair()
     send = sender(quiet.address)
     route = RouterHost(send.site, 1, send.book, send.relay, send)
-    row = Listed("c0", send.servers["c0"].address, "east", "std", 0, "up", 50.0, 0)
+    row = ListedServer("c0", send.servers["c0"].address, "east", "std", 0, "up", 50.0, 0)
     route.list_told(ListChange(True, (row,)), now=True)
     outlet = Outlet(here, encode, route.relay)
     outlet.streams[1] = 1
