--- a/fieldspur/bench/timers.py
+++ b/fieldspur/bench/timers.py
@@ -10,7 +10,7 @@
 import random
 import time
 
-from fieldspur.net.timer_wheel import Wheel
+from fieldspur.net.timer_wheel import TimerWheel
 
 MS = 1_000_000
 
@@ -56,7 +56,7 @@
 
 def compare(count: int = 200_000, between: int = 125_000, kept: float = 0.01) -> dict:
     best = {}
-    for kind in (Heap, Wheel) * 3:
+    for kind in (Heap, TimerWheel) * 3:
         us, held = cost(kind(), count, between, kept)
         name = kind.__name__.lower()
         best[name] = {"us": round(min(us, best.get(name, {"us": us})["us"]), 2), "held": held}
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -18,7 +18,7 @@
 from fieldspur.net.nonblocking import EPOCH, latest_time_of
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.server_connection import Hop
-from fieldspur.net.timer_wheel import NEVER, Wheel
+from fieldspur.net.timer_wheel import NEVER, TimerWheel
 from fieldspur.permissions import Gate, GiveUp
 from fieldspur.site import MS, Deployment, build_router
 
@@ -47,7 +47,7 @@
         self.lock = threading.Lock()  # of the Router, the wheel and all below; taken without waiting
         self.caller = None  # the thread in the Router
         self.mine, self.outbox = Mine(), []  # what to write once the lock is released
-        self.wheel, self.wakes = Wheel(), {}  # wakes: times of the Router's alarms
+        self.wheel, self.wakes = TimerWheel(), {}  # wakes: times of the Router's alarms
         self.soonest = NEVER  # no timer is due before
         self.used = self.asleep = False  # a timer was set since the last look; the timers' thread sleeps
         self.bell = threading.Lock()
--- a/fieldspur/net/timer_wheel.py
+++ b/fieldspur/net/timer_wheel.py
@@ -8,7 +8,7 @@
 NEVER = 1 << 62
 
 
-class Wheel:
+class TimerWheel:
     """Times are whole nanoseconds; a key is unique among the timers set. Most timers are cancelled, so an add costs no
     heap push where its slot exists, and a cancelled timer leaves nothing to be sorted, popped or woken for."""
 
