--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -9,7 +9,7 @@
 from fieldspur.decide import LANES
 from fieldspur.net import resp
 from fieldspur.net.client_writer import LEFT, UNREAD, Relay
-from fieldspur.net.invariants import holds
+from fieldspur.net.invariants import check_invariant
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import EPOCH
 from fieldspur.net.open_txns import Answer, Book
@@ -165,7 +165,7 @@
                         hop.want.limit_ms = (hop.cut_at - now + MS - 1) // MS
                     before = self.outstanding.get(hop.ident)
                     if before is not None and before is not hop:
-                        holds(False, "one attempt of a request outstanding", txn=hop.name, attempt=hop.number)
+                        check_invariant(False, "one attempt of a request outstanding", txn=hop.name, attempt=hop.number)
                     self.outstanding[hop.ident] = hop
                 return True
         self.take_back(hop, refusal)
--- a/fieldspur/net/invariants.py
+++ b/fieldspur/net/invariants.py
@@ -25,7 +25,7 @@
 STEADY_S = 1.0
 
 
-def holds(true, what: str, **about) -> bool:
+def check_invariant(true, what: str, **about) -> bool:
     """Returns whether it held, so that a release build can go on without it."""
     if true:
         return True
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -5,7 +5,7 @@
 import itertools
 import threading
 
-from fieldspur.net.invariants import holds
+from fieldspur.net.invariants import check_invariant
 from fieldspur.record import record
 
 MOST_NAMES = 4096
@@ -58,7 +58,7 @@
 
     def take(self, txn: Txn) -> None:
         if txn.ident in self.open:
-            holds(False, "a new number for each txn", txn=txn.ident)
+            check_invariant(False, "a new number for each txn", txn=txn.ident)
         self.open[txn.ident] = txn
         with self.lock:
             self.names.add(txn.name)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -14,7 +14,7 @@
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, Purge
-from fieldspur.net.invariants import contained, holds
+from fieldspur.net.invariants import check_invariant, contained
 from fieldspur.net.nonblocking import EPOCH, latest_time_of
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.server_connection import Hop
@@ -93,7 +93,7 @@
             while lock.acquire(False):
                 try:
                     if self.caller is not None:
-                        holds(False, "one caller in the Router at a time")
+                        check_invariant(False, "one caller in the Router at a time")
                     self.caller = me = threading.get_ident()
                     left = AT_ONCE
                     while left:
@@ -112,7 +112,7 @@
                             self.failed(about)
                         left -= 1
                     if self.caller != me:
-                        holds(False, "one caller in the Router at a time")
+                        check_invariant(False, "one caller in the Router at a time")
                     self.caller = None
                     done = self.outbox
                     if done:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -438,7 +438,7 @@
     assert holding.contained.seen()["contained_event"] == before + 3
     assert not route.lock.locked() and route.caller is None
     with pytest.raises(AssertionError):  # what must hold is not contained
-        route.post(lambda: holding.holds(False, "a thing"))
+        route.post(lambda: holding.check_invariant(False, "a thing"))
     assert told == [AssertionError] and not route.lock.locked()
 
 
