--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -17,7 +17,7 @@
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient
-from fieldspur.net.invariants import asked_again, contained, keep_running
+from fieldspur.net.invariants import asked_again, contained_errors, keep_running
 from fieldspur.net.nonblocking import EPOCH
 from fieldspur.net.open_txns import Book
 from fieldspur.net.router_host import RouterHost
@@ -178,7 +178,7 @@
         counts |= self.send.refused.seen("refused") | self.takein.admit.refused.seen("refused")
         # Over the enum, not the dict: the Router's thread adds to that meanwhile.
         counts |= {f"gave_up_{why.value}": gave_up[why] for why in GiveUp if why in gave_up}
-        counts |= contained.seen()
+        counts |= contained_errors.seen()
         return counts | self.send.connection_ends.seen("connections") | self.takein.closed_for.seen("closed")
 
     def reload(self) -> None:
@@ -265,7 +265,7 @@
         try:
             service.reload()
         except Exception:
-            contained.note("reload")
+            contained_errors.note("reload")
     log.info("ending", extra={"kv": {"open": len(service.book.open)}})
     service.end()
     service.counts("ended")
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -20,7 +20,7 @@
 from fieldspur.fleet.register_store import NotKept, NotRead, Store
 from fieldspur.fleet.work_requests import wishes_of
 from fieldspur.net.discovery import DiscoveryClient
-from fieldspur.net.invariants import contained, keep_running
+from fieldspur.net.invariants import contained_errors, keep_running
 from fieldspur.operators import Fleet, member
 from fieldspur.record import replace
 
@@ -453,7 +453,7 @@
         except OSError:
             pass  # it comes again
         except Exception:
-            contained.note("fleet-watcher")
+            contained_errors.note("fleet-watcher")
         finally:
             with self.told:
                 self.watchers -= 1
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -12,7 +12,7 @@
 from fieldspur.net.admission import Admit
 from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, Arrivals
 from fieldspur.net.client_writer import TICK, Outlet, Relay
-from fieldspur.net.invariants import asked_again, contained
+from fieldspur.net.invariants import asked_again, contained_errors
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import AWAY, EPOCH, came, looks_at
 from fieldspur.net.open_txns import Answer, Book
@@ -131,7 +131,7 @@
         except OSError:
             pass  # reset: as if it had closed
         except Exception:
-            contained.note("client")
+            contained_errors.note("client")
         self.hold(0)
         self.takein.ended(self)
         self.takein.route.handle()
@@ -174,7 +174,7 @@
         except frames.BadFrame:
             raise
         except Exception:
-            contained.note("client")
+            contained_errors.note("client")
             self.fail_over(value.stream)
 
     def fail_over(self, stream: int) -> None:
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -8,7 +8,7 @@
 import time
 from collections import deque
 
-from fieldspur.net.invariants import contained
+from fieldspur.net.invariants import contained_errors
 from fieldspur.net.nonblocking import AWAY, EPOCH, came, looks_at, write_now
 from fieldspur.net.open_txns import Answer, Txn
 from fieldspur.net.timer_wheel import NEVER
@@ -179,7 +179,7 @@
                 with self.lock:
                     self.cut()
             except Exception:
-                contained.note("answer")
+                contained_errors.note("answer")
                 self.cut_off()
             self.idle_since = time.monotonic()
             self.relay.hold(-len(data))
@@ -280,7 +280,7 @@
             if not txn.outlet.answer(txn.stream, answer, cork, now > txn.limit_at or now < self.careful_until):
                 return
         except Exception:
-            contained.note("answer", txn=txn.ident)
+            contained_errors.note("answer", txn=txn.ident)
             return txn.outlet.cut_off()
         if now - txn.limit_at > OVERDUE:
             log.warning(
--- a/fieldspur/net/invariants.py
+++ b/fieldspur/net/invariants.py
@@ -35,7 +35,7 @@
     return False
 
 
-class Contained:
+class ContainedErrors:
     """Counts unforeseen errors by where they were contained: "event", "connection", "client", "write", "answer", or a thread's name."""
 
     def __init__(self):
@@ -61,7 +61,7 @@
             return {f"contained_{place}": count for place, count in self.by_place.items()}
 
 
-contained = Contained()
+contained_errors = ContainedErrors()
 
 
 def asked_again(call: Callable[[], Result], failures: type[Exception] | tuple[type[Exception], ...], pause_s: float) -> Result:
@@ -91,5 +91,5 @@
             failed_at = now
             if in_a_row >= MOST_IN_A_ROW:
                 raise
-            contained.note(name)
+            contained_errors.note(name)
         time.sleep(RUN_AGAIN_S)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -14,7 +14,7 @@
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, Purge
-from fieldspur.net.invariants import check_invariant, contained
+from fieldspur.net.invariants import check_invariant, contained_errors
 from fieldspur.net.nonblocking import EPOCH, latest_time_of
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.server_connection import Hop
@@ -169,7 +169,7 @@
         was about none, or about more than one, each request that is open still gets its answer by its deadline."""
         first = about[0] if about else None
         ident = first if isinstance(first, int) else getattr(first, "ident", PROBE)
-        contained.note("event", txn=ident)
+        contained_errors.note("event", txn=ident)
         self.watched_until = self.clock + LONGEST_WATCH
         self.at(self.clock + WATCH_OVERDUE, (OVERDUE, 0))
         if ident in self.book.open:
@@ -181,7 +181,7 @@
             self.router.time_is_up(ident, GiveUp.INTERNAL_ERROR)
             self.drop_unknown_attempt(ident)
         except Exception:
-            contained.note("event", txn=ident)
+            contained_errors.note("event", txn=ident)
         if ident in self.book.open:
             self.abort(ident)
 
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -12,7 +12,7 @@
 from enum import Enum
 
 from fieldspur.net import resp
-from fieldspur.net.invariants import contained
+from fieldspur.net.invariants import contained_errors
 from fieldspur.net.nonblocking import AWAY, EPOCH, looks_at, write_now
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import may_dial_again, speaks_against_server
@@ -200,7 +200,7 @@
                 self.shut()
                 return
             except Exception:  # it costs this connection, whose own thread ends what is open on it
-                contained.note("write", server=self.server)
+                contained_errors.note("write", server=self.server)
                 self.shut()
                 return
             finally:
@@ -346,7 +346,7 @@
         except (OSError, ValueError):
             self.broken_off()
         except Exception:
-            contained.note("write", server=self.server)
+            contained_errors.note("write", server=self.server)
             self.broken_off()
         self.pump()  # what came between the look and the end of `draining`
 
@@ -380,7 +380,7 @@
         try:
             self.connect_and_read()
         except Exception:
-            contained.note("connection", server=self.server)
+            contained_errors.note("connection", server=self.server)
             self.end()
 
     def connect_and_read(self) -> None:
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -14,7 +14,7 @@
 from fieldspur.decide import MS
 from fieldspur.lab.soak import shim
 from fieldspur.net.discovery import SILENCE, WAIT_HEARD
-from fieldspur.net.invariants import contained
+from fieldspur.net.invariants import contained_errors
 from fieldspur.net.server_connection import LOOK_BOARD, Hop, keep_little
 from fieldspur.record import replace
 
@@ -33,7 +33,7 @@
 
 def test_an_attempt_that_is_taken_back_in_the_moment_of_its_write_costs_nobody_else(monkeypatch):
     """A purge or a change of the list takes attempts out of a connection's queue, by its own thread."""
-    failed, before = [], contained.seen().get("contained_write")
+    failed, before = [], contained_errors.seen().get("contained_write")
     monkeypatch.setattr(threading, "excepthook", failed.append)
     cache = Cache(lambda want: None)
     send = sender(cache.address)
@@ -45,7 +45,7 @@
     until(lambda: lane.ready and lane.queue.emptied)
     send.hop(taken(send, stays(send), ident=6)).pump()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
-    assert not failed and contained.seen().get("contained_write") == before  # contained is not mended
+    assert not failed and contained_errors.seen().get("contained_write") == before  # contained is not mended
 
 
 def test_a_probe_that_is_cut_by_a_full_socket_is_finished_like_any_message():
