--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -265,7 +265,7 @@
         try:
             service.reload()
         except Exception:
-            contained_errors.note("reload")
+            contained_errors.record("reload")
     log.info("ending", extra={"kv": {"open": len(service.book.open)}})
     service.end()
     service.counts("ended")
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -453,7 +453,7 @@
         except OSError:
             pass  # it comes again
         except Exception:
-            contained_errors.note("fleet-watcher")
+            contained_errors.record("fleet-watcher")
         finally:
             with self.told:
                 self.watchers -= 1
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -131,7 +131,7 @@
         except OSError:
             pass  # reset: as if it had closed
         except Exception:
-            contained_errors.note("client")
+            contained_errors.record("client")
         self.hold(0)
         self.takein.ended(self)
         self.takein.route.handle()
@@ -174,7 +174,7 @@
         except frames.BadFrame:
             raise
         except Exception:
-            contained_errors.note("client")
+            contained_errors.record("client")
             self.fail_over(value.stream)
 
     def fail_over(self, stream: int) -> None:
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -179,7 +179,7 @@
                 with self.lock:
                     self.cut()
             except Exception:
-                contained_errors.note("answer")
+                contained_errors.record("answer")
                 self.cut_off()
             self.idle_since = time.monotonic()
             self.relay.hold(-len(data))
@@ -280,7 +280,7 @@
             if not txn.outlet.answer(txn.stream, answer, cork, now > txn.limit_at or now < self.careful_until):
                 return
         except Exception:
-            contained_errors.note("answer", txn=txn.ident)
+            contained_errors.record("answer", txn=txn.ident)
             return txn.outlet.cut_off()
         if now - txn.limit_at > OVERDUE:
             log.warning(
--- a/fieldspur/net/invariants.py
+++ b/fieldspur/net/invariants.py
@@ -42,7 +42,7 @@
         self.lock = threading.Lock()
         self.by_place: dict[str, int] = {}
 
-    def note(self, place: str, **about) -> None:
+    def record(self, place: str, **about) -> None:
         """Called while the error is handled. What must hold is not contained: it is raised on, where it is asserted at all."""
         error_type, error, trace = sys.exc_info()
         if isinstance(error, AssertionError):
@@ -91,5 +91,5 @@
             failed_at = now
             if in_a_row >= MOST_IN_A_ROW:
                 raise
-            contained_errors.note(name)
+            contained_errors.record(name)
         time.sleep(RUN_AGAIN_S)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -169,7 +169,7 @@
         was about none, or about more than one, each request that is open still gets its answer by its deadline."""
         first = about[0] if about else None
         ident = first if isinstance(first, int) else getattr(first, "ident", PROBE)
-        contained_errors.note("event", txn=ident)
+        contained_errors.record("event", txn=ident)
         self.watched_until = self.clock + LONGEST_WATCH
         self.at(self.clock + WATCH_OVERDUE, (OVERDUE, 0))
         if ident in self.book.open:
@@ -181,7 +181,7 @@
             self.router.time_is_up(ident, GiveUp.INTERNAL_ERROR)
             self.drop_unknown_attempt(ident)
         except Exception:
-            contained_errors.note("event", txn=ident)
+            contained_errors.record("event", txn=ident)
         if ident in self.book.open:
             self.abort(ident)
 
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -200,7 +200,7 @@
                 self.shut()
                 return
             except Exception:  # it costs this connection, whose own thread ends what is open on it
-                contained_errors.note("write", server=self.server)
+                contained_errors.record("write", server=self.server)
                 self.shut()
                 return
             finally:
@@ -346,7 +346,7 @@
         except (OSError, ValueError):
             self.broken_off()
         except Exception:
-            contained_errors.note("write", server=self.server)
+            contained_errors.record("write", server=self.server)
             self.broken_off()
         self.pump()  # what came between the look and the end of `draining`
 
@@ -380,7 +380,7 @@
         try:
             self.connect_and_read()
         except Exception:
-            contained_errors.note("connection", server=self.server)
+            contained_errors.record("connection", server=self.server)
             self.end()
 
     def connect_and_read(self) -> None:
