--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -175,11 +175,11 @@
         """How often something ended, was refused, given up or closed, by reason."""
         gave_up, attempts = self.route.router.gave_up, self.route.attempts
         counts = {f"attempts_{result}": attempts[result] for result in RESULTS if attempts[result]}
-        counts |= self.send.refused.seen("refused") | self.takein.admit.refused.seen("refused")
+        counts |= self.send.refused.log_fields("refused") | self.takein.admit.refused.log_fields("refused")
         # Over the enum, not the dict: the Router's thread adds to that meanwhile.
         counts |= {f"gave_up_{why.value}": gave_up[why] for why in GiveUp if why in gave_up}
-        counts |= contained_errors.seen()
-        return counts | self.send.connection_ends.seen("connections") | self.takein.closed_for.seen("closed")
+        counts |= contained_errors.log_fields()
+        return counts | self.send.connection_ends.log_fields("connections") | self.takein.closed_for.log_fields("closed")
 
     def reload(self) -> None:
         """Read the files again. One that can't be used changes nothing, nor does what a running router keeps."""
--- a/fieldspur/net/invariants.py
+++ b/fieldspur/net/invariants.py
@@ -55,7 +55,7 @@
             extra={"kv": {"place": place, "thread": threading.current_thread().name, **about, **error_fields(error, trace)}},
         )
 
-    def seen(self) -> dict[str, int]:
+    def log_fields(self) -> dict[str, int]:
         """How often, as keys of a log line."""
         with self.lock:
             return {f"contained_{place}": count for place, count in self.by_place.items()}
--- a/fieldspur/net/logs.py
+++ b/fieldspur/net/logs.py
@@ -22,7 +22,7 @@
         with self.lock:
             self.by_reason[reason] += 1
 
-    def seen(self, prefix: str) -> dict[str, int]:
+    def log_fields(self, prefix: str) -> dict[str, int]:
         """The reasons that have occurred, as keys of a log line."""
         with self.lock:
             return {f"{prefix}_{reason.name.lower()}": count for reason, count in self.by_reason.items() if count}
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -132,8 +132,8 @@
     for thread in threads:
         thread.start()
     while any(thread.is_alive() for thread in threads):
-        counter.seen("closed")
-    assert counter.seen("closed") == {"closed_idle": 2 * counted, "closed_descriptors": counted}
+        counter.log_fields("closed")
+    assert counter.log_fields("closed") == {"closed_idle": 2 * counted, "closed_descriptors": counted}
 
 
 def test_an_attempt_goes_to_where_its_server_is_listed_now_whatever_connection_stands():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -430,12 +430,12 @@
     """A board's thread takes ValueError for a bad line, a reader's OSError for a broken connection: neither may meet it."""
     route, told, after = plain_route(), [], []
     monkeypatch.setattr(threading, "excepthook", lambda args: told.append(args.exc_type))
-    before = holding.contained_errors.seen().get("contained_event", 0)
+    before = holding.contained_errors.log_fields().get("contained_event", 0)
     for wrong in (ValueError, OSError, KeyError):
         route.post(lambda: (_ for _ in ()).throw(wrong("in there")))
         route.post(after.append, wrong)
     assert after == [ValueError, OSError, KeyError] and not told
-    assert holding.contained_errors.seen()["contained_event"] == before + 3
+    assert holding.contained_errors.log_fields()["contained_event"] == before + 3
     assert not route.lock.locked() and route.caller is None
     with pytest.raises(AssertionError):  # what must hold is not contained
         route.post(lambda: holding.check_invariant(False, "a thing"))
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -33,7 +33,7 @@
 
 def test_an_attempt_that_is_taken_back_in_the_moment_of_its_write_costs_nobody_else(monkeypatch):
     """A purge or a change of the list takes attempts out of a connection's queue, by its own thread."""
-    failed, before = [], contained_errors.seen().get("contained_write")
+    failed, before = [], contained_errors.log_fields().get("contained_write")
     monkeypatch.setattr(threading, "excepthook", failed.append)
     cache = Cache(lambda want: None)
     send = sender(cache.address)
@@ -45,7 +45,7 @@
     until(lambda: lane.ready and lane.queue.emptied)
     send.hop(taken(send, stays(send), ident=6)).pump()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
-    assert not failed and contained_errors.seen().get("contained_write") == before  # contained is not mended
+    assert not failed and contained_errors.log_fields().get("contained_write") == before  # contained is not mended
 
 
 def test_a_probe_that_is_cut_by_a_full_socket_is_finished_like_any_message():
