--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -17,7 +17,7 @@
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient
-from fieldspur.net.invariants import asked_again, contained_errors, keep_running
+from fieldspur.net.invariants import contained_errors, keep_running, retry_while_exhausted
 from fieldspur.net.nonblocking import EPOCH
 from fieldspur.net.open_txns import Book
 from fieldspur.net.router_host import RouterHost
@@ -234,7 +234,7 @@
 
 def files_of(environ) -> tuple[Node, Operators]:
     """Both files, checked. Where the system has no room to open one now, that is tried again for a while. Raises BadSite, BadFile."""
-    return asked_again(lambda: (read_node(environ), wishes_of(environ)), (Unopened, UnopenedFile), FILE_PAUSE)
+    return retry_while_exhausted(lambda: (read_node(environ), wishes_of(environ)), (Unopened, UnopenedFile), FILE_PAUSE)
 
 
 def level_of(node: Node, wishes: Operators) -> int:
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -12,7 +12,7 @@
 from fieldspur.net.admission import Admit
 from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, Arrivals
 from fieldspur.net.client_writer import TICK, Outlet, Relay
-from fieldspur.net.invariants import asked_again, contained_errors
+from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import AWAY, EPOCH, came, looks_at
 from fieldspur.net.open_txns import Answer, Book
@@ -49,7 +49,7 @@
             raise
         return sock
 
-    return asked_again(listen, OSError, LISTEN_PAUSE)
+    return retry_while_exhausted(listen, OSError, LISTEN_PAUSE)
 
 
 class Used:
--- a/fieldspur/net/invariants.py
+++ b/fieldspur/net/invariants.py
@@ -64,7 +64,7 @@
 contained_errors = ContainedErrors()
 
 
-def asked_again(call: Callable[[], Result], failures: type[Exception] | tuple[type[Exception], ...], pause_s: float) -> Result:
+def retry_while_exhausted(call: Callable[[], Result], failures: type[Exception] | tuple[type[Exception], ...], pause_s: float) -> Result:
     """What `call` gives. Where it fails for want of room in the system, it is called again for a while: raises the error of one that
     goes on, and any other at once. `failures` have an `errno`."""
     began = time.monotonic()
