--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -18,7 +18,7 @@
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import contained_errors, keep_running, retry_while_exhausted
-from fieldspur.net.nonblocking import EPOCH
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
 from fieldspur.net.open_txns import Book
 from fieldspur.net.router_host import RouterHost
 from fieldspur.operators import BadFile, Operators, UnopenedFile, read
@@ -97,7 +97,7 @@
         # where restarted routers named a draining parent before they had asked the board. Bounded, so a router without
         # a board starts; txns that come meanwhile wait at the gate, or are turned away in time.
         wait = self.wishes.start.board_wait_s
-        self.route.gate = Gate(time.monotonic_ns() + EPOCH, int(wait * 1e9), self.wishes.start.most_waiting)
+        self.route.gate = Gate(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS, int(wait * 1e9), self.wishes.start.most_waiting)
         for name, run in (
             ("board", self.board.run),
             ("route", self.route.run),
@@ -214,7 +214,7 @@
         self.takein.close()
         killed_at = began + STILL_COMING + min(self.longest, KILLED_AFTER)
         left = min(self.longest, KILLED_AFTER) - BEFORE_IT
-        self.takein.admit.ends_at = time.monotonic_ns() + EPOCH + int(left * 1e9)
+        self.takein.admit.ends_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
         while (took := time.monotonic() - began) < self.longest + STILL_COMING:
             late = took > STILL_COMING + left
             if late and self.book.open:
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.nonblocking import AWAY, EPOCH, came, looks_at, write_now
+from fieldspur.net.nonblocking import AWAY, MONOTONIC_TO_UNIX_NS, came, looks_at, write_now
 from fieldspur.net.open_txns import Answer, Txn
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.record import record
@@ -273,7 +273,7 @@
 
     def answer(self, txn: Txn, answer: Answer, cork: list | None = None) -> None:
         """Hand a request's answer to its connection. An unforeseen error in that costs the connection."""
-        now = time.monotonic_ns() + EPOCH
+        now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         if now - self.ticked > TICK_LATE:
             self.careful_until = now + CAREFUL
         try:
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -11,7 +11,7 @@
 from fieldspur.net.client_writer import LEFT, UNREAD, Relay
 from fieldspur.net.invariants import check_invariant
 from fieldspur.net.logs import ReasonCounter
-from fieldspur.net.nonblocking import EPOCH
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
 from fieldspur.net.open_txns import Answer, Book
 from fieldspur.net.server_connection import ConnectionEnd, Hop, ServerConnection
 from fieldspur.permissions import AttemptRules, Refusal
@@ -76,7 +76,7 @@
             lanes = self.lanes.setdefault(hop.server, [])
             free = [lane for lane in lanes if lane.takes(hop)]
             best = min(free, key=lambda lane: len(lane.open)) if free else None
-            breaking = time.monotonic_ns() + EPOCH - self.broke < self.site.idle_close
+            breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.broke < self.site.idle_close
             if best is not None and (not best.open or len(lanes) >= (LANES if breaking else 1) or self.many() >= self.most_lanes // 2):
                 return best  # beyond half of the descriptors further ones are for servers that have none
             if self.many() >= self.most_lanes:
@@ -114,7 +114,7 @@
 
     def purge_told(self, obj: str | None, group: int) -> None:
         """Attempts decided before, and not written, would ask for copies too old."""
-        self.rules.purge_told(obj if obj is not None else group, time.monotonic_ns() + EPOCH)
+        self.rules.purge_told(obj if obj is not None else group, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
         self.sift()
 
     def sift(self) -> None:
@@ -127,13 +127,13 @@
         """Waits, a moment at most, for what discovery has sent and is not told yet."""
         if self.board is not None:
             self.board.caught_up()
-            self.looked = time.monotonic_ns() + EPOCH
+            self.looked = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
 
     def begin(self, hop: Hop) -> bool:
         """Just before a hop is written: it may have been given up, or not be right any more, or its client may have gone: of a txn
         that has waited, a close, reset or withdrawal may lie unread in the socket. What lies there is for the client's own reader,
         which puts the hop back into its queue once it has worked that off."""
-        now = time.monotonic_ns() + EPOCH
+        now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         if hop.ended:
             return False
         if now - hop.lane.heard > LOOK_IDLE and hop.lane.over():
@@ -202,7 +202,7 @@
             self.report(hop, result)
 
     def report(self, hop: Hop, result: str, reply: resp.Reply | None = None, at: int = 0) -> None:
-        self.route.post(self.route.hop_ended, hop, result, (at or time.monotonic_ns() + EPOCH) - hop.asked, reply)
+        self.route.post(self.route.hop_ended, hop, result, (at or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS) - hop.asked, reply)
 
     def answered(self, hop: Hop, reply: resp.Reply, at: int, cork: list | None = None) -> None:
         if not self.claim(hop):
--- a/fieldspur/net/nonblocking.py
+++ b/fieldspur/net/nonblocking.py
@@ -13,7 +13,7 @@
 # The program's clock is `time.monotonic_ns() + EPOCH`: Unix ns as the system had them at the start, which nobody sets. Guards against an
 # operator, or a time server, that sets the clock by minutes: back, timers would not come for as long; forth, all would come at once. It
 # is written out where it is read, for a function of its own would be a tenth of a txn's calls.
-EPOCH = time.time_ns() - time.monotonic_ns()
+MONOTONIC_TO_UNIX_NS = time.time_ns() - time.monotonic_ns()
 FLAGS = socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL
 LONGEST_LAY = 60_000_000_000  # ns
 AWAY = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer has closed or reset its side
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -15,7 +15,7 @@
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, Purge
 from fieldspur.net.invariants import check_invariant, contained_errors
-from fieldspur.net.nonblocking import EPOCH, latest_time_of
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, latest_time_of
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.server_connection import Hop
 from fieldspur.net.timer_wheel import NEVER, TimerWheel
@@ -55,7 +55,7 @@
         self.order = itertools.count()
         self.starts: dict[str, tuple[int, int]] = {}  # of servers: as told, and by this process' clock
         self.hops: dict[tuple[int, int], Hop] = {}  # out, by the Router's numbers
-        self.clock = time.monotonic_ns() + EPOCH
+        self.clock = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         self.lag = 0  # longest that an event or timer waited since the last look
         self.behind = 0  # the same, fading: how late this thread now is
         self.faded = self.clock
@@ -71,7 +71,7 @@
     def post(self, what, *about) -> None:
         """Whoever has an event posts it, and handles it and what else waits unless another thread is at that. That one
         looks again before it goes, so nothing is left and nobody waits for the lock."""
-        self.queue.append((what, about, time.monotonic_ns() + EPOCH))
+        self.queue.append((what, about, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         if not self.mine.busy:
             self.work()
 
@@ -97,7 +97,7 @@
                     self.caller = me = threading.get_ident()
                     left = AT_ONCE
                     while left:
-                        self.clock = now = time.monotonic_ns() + EPOCH
+                        self.clock = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
                         if now >= self.soonest:
                             self.tick()
                         if not queue:
@@ -140,10 +140,10 @@
 
     def tick(self) -> None:
         """All timers that are due, by exact time; cuts first, for each is a final answer's last moment."""
-        self.clock = now = time.monotonic_ns() + EPOCH
+        self.clock = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         due = self.wheel.due(now)
         for at, (ident, number) in due:
-            self.clock = time.monotonic_ns() + EPOCH
+            self.clock = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
             self.waited(self.clock - at)
             try:
                 self.timer_due(ident, number)
@@ -205,7 +205,7 @@
         """The thread of the timers, and of what others leave."""
         while True:
             self.asleep = True  # before the look: who sets an earlier timer from now on rings
-            left = self.soonest - (time.monotonic_ns() + EPOCH)
+            left = self.soonest - (time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
             if left > 0 and not self.queue:
                 self.bell.acquire(timeout=min(left / 1e9, LONGEST))
             self.asleep = False
@@ -347,7 +347,7 @@
         if now:
             self.list_changed(change.complete, rows, live=False)
         else:
-            self.queue.append((self.list_changed, (change.complete, rows), time.monotonic_ns() + EPOCH))
+            self.queue.append((self.list_changed, (change.complete, rows), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         for s in rows:
             if s.state != "up":
                 self.sender.listed(s.name, s.address, s.state, s.started)
@@ -381,7 +381,7 @@
     def purge_told(self, purge: Purge, now: bool = False) -> None:
         if now:
             return self.purged(purge, live=False)
-        self.queue.append((self.purged, (purge,), time.monotonic_ns() + EPOCH))
+        self.queue.append((self.purged, (purge,), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         self.sender.purge_told(purge.obj, purge.group)
         if not self.mine.busy:
             self.work()
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -13,7 +13,7 @@
 
 from fieldspur.net import resp
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.nonblocking import AWAY, EPOCH, looks_at, write_now
+from fieldspur.net.nonblocking import AWAY, MONOTONIC_TO_UNIX_NS, looks_at, write_now
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import may_dial_again, speaks_against_server
 from fieldspur.record import record
@@ -171,7 +171,7 @@
     def sift(self) -> None:
         """Hops that wait here and may not go out any more are taken back at once: they never ran."""
         for hop in list(self.queue):
-            refusal = self.send.rules.refusal(hop, time.monotonic_ns() + EPOCH)
+            refusal = self.send.rules.refusal(hop, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
             if refusal is None:
                 continue
             try:
@@ -236,7 +236,7 @@
             if not self.poll().poll(0):
                 return [], None, True
             self.past = False
-        if time.monotonic_ns() + EPOCH - self.send.looked > LOOK_BOARD:
+        if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.send.looked > LOOK_BOARD:
             self.send.catch_up()  # before any is looked at: nothing may wait between the look at one and its write
         try:  # as `next_attempt`, without a call in the ordinary case
             hop = self.queue.popleft()
@@ -363,7 +363,7 @@
             if go_by == NEVER:
                 self.sock.sendall(left.pop(0))
                 continue
-            wait = (go_by - (time.monotonic_ns() + EPOCH)) // MS
+            wait = (go_by - (time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)) // MS
             if wait <= 0 or not self.poll().poll(wait):
                 raise OSError("not out in time")
             left = write_now(self.sock, left)
@@ -394,7 +394,7 @@
             keep_little(self.sock)
         except OSError as wrong:  # not established
             return self.end("unreachable" if speaks_against_server(wrong.errno) else "unsent", end_of(wrong), wrong.strerror or "timed out")
-        self.heard = time.monotonic_ns() + EPOCH
+        self.heard = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         self.ready = True
         self.pump()
         self.read()
@@ -423,7 +423,7 @@
                 and (
                     self.retired
                     or self.server not in self.send.servers
-                    or time.monotonic_ns() + EPOCH - self.heard > self.send.site.idle_close * 0.75
+                    or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.heard > self.send.site.idle_close * 0.75
                 )
             )
             if self.closed:
@@ -458,7 +458,7 @@
     def replies(self, decoder: resp.Decoder, size: int) -> None:
         """All that one read brought. Answers to one client go out in one write, and the Router hears of them together."""
         send, window, cork = self.send, decoder.window, []
-        self.heard = now = time.monotonic_ns() + EPOCH
+        self.heard = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         send.route.gather()
         try:
             for reply in decoder.filled(size):
@@ -517,6 +517,6 @@
             },
         )
         if any(hop.written for hop in hops):
-            self.send.broke = time.monotonic_ns() + EPOCH
+            self.send.broke = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         for hop in hops:
             self.send.ended(hop, "broken" if hop.written else unwritten)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,7 +17,7 @@
 from fieldspur.host import HIT, JOINED, NEVER_RAN, PAST_FRESH, RemapRule
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
-from fieldspur.net.nonblocking import EPOCH
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
 from fieldspur.net.open_txns import Book
 from fieldspur.net.server_connection import ServerConnection
 from fieldspur.site import deployment
@@ -302,7 +302,7 @@
 
 def clock():
     """The program's clock, in ns."""
-    return time.monotonic_ns() + EPOCH
+    return time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
 
 
 def until(true, what="what was waited for", limit=20.0):
