--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -14,7 +14,7 @@
 from fieldspur.net.client_writer import TICK, Outlet, Relay
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
-from fieldspur.net.nonblocking import AWAY, MONOTONIC_TO_UNIX_NS, came, looks_at
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, came, looks_at
 from fieldspur.net.open_txns import Answer, Book
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import Accepting, ClientState, CloseReason, close_reason, may_cut
@@ -94,7 +94,7 @@
                         break
                     self.outlet.read_off()
                     continue
-                if (found := looks(0)) and found[0][1] & AWAY:
+                if (found := looks(0)) and found[0][1] & PEER_CLOSED:
                     break  # nobody waits for what it sent; guards against attempts begun for thousands that send and go
                 now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
                 if now - arrivals.read_at > LATE_READ or arrivals.late_since != NEVER or arrivals.reads >= READS_BETWEEN_LOOKS:
--- a/fieldspur/net/nonblocking.py
+++ b/fieldspur/net/nonblocking.py
@@ -16,7 +16,7 @@
 MONOTONIC_TO_UNIX_NS = time.time_ns() - time.monotonic_ns()
 FLAGS = socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL
 LONGEST_LAY = 60_000_000_000  # ns
-AWAY = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer has closed or reset its side
+PEER_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer has closed or reset its side
 
 
 def latest_time_of(stamp: int, now: int, live: bool, ahead: int = 0) -> int:
