--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -14,7 +14,7 @@
 from fieldspur.net.client_writer import TICK, Outlet, Relay
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
-from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, came, looks_at
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, came, receive_poll
 from fieldspur.net.open_txns import Answer, Book
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import Accepting, ClientState, CloseReason, close_reason, may_cut
@@ -84,7 +84,7 @@
     def read(self) -> None:
         decoder, after, behind, taken = frames.Decoder(), 0, 0, False
         window, arrivals = decoder.window, Arrivals(self.sock, self.takein.relay)
-        looks = looks_at(self.sock).poll
+        looks = receive_poll(self.sock).poll
         try:
             while size := self.sock.recv_into(window.view if self.failed or self.outlet.shut_at else window.room()):
                 if self.failed or self.outlet.shut_at:  # only to see its end, or what it was told might be lost in a reset
@@ -188,7 +188,7 @@
         """Guards against a process that was stopped: what came meanwhile lies unread, and the look at idle connections may have its
         turn before their readers. A request there is owed its answer."""
         with self.outlet.lock:  # its descriptor is closed under it
-            return not self.outlet.ended and any(event == select.POLLIN for _, event in looks_at(self.sock).poll(0))
+            return not self.outlet.ended and any(event == select.POLLIN for _, event in receive_poll(self.sock).poll(0))
 
     def in_hand(self) -> bool:
         """Whether its reader has read bytes that it has not worked off, as far as the system tells: a request among them is owed its
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, came, looks_at, write_now
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, came, receive_poll, write_now
 from fieldspur.net.open_txns import Answer, Txn
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.record import record
@@ -53,7 +53,7 @@
         self.sent = 0  # bytes that the client had sent as of the last look that found some unread
         self.asked = False  # somebody looks, or waits: set before each look, so that the reader of what it found sees it
         self.worked_off = 0  # bytes, by its reader
-        self.looks = looks_at(sock)  # for `found` alone, under the lock
+        self.looks = receive_poll(sock)  # for `found` alone, under the lock
 
     def found(self, in_hand: bool = False) -> str:
         """What lies in the socket that its reader may not have come to: LEFT, a close or reset, also behind other bytes; UNREAD,
--- a/fieldspur/net/nonblocking.py
+++ b/fieldspur/net/nonblocking.py
@@ -32,7 +32,7 @@
     return now if live else min(stamp, now)
 
 
-def looks_at(sock: socket.socket) -> select.poll:
+def receive_poll(sock: socket.socket) -> select.poll:
     """To look whether bytes or the peer's end lie in a socket. For one thread at a time: the system's object refuses a look during
     another's, with an error that would end the program."""
     poll = select.poll()
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -13,7 +13,7 @@
 
 from fieldspur.net import resp
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, looks_at, write_now
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, receive_poll, write_now
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import may_dial_again, speaks_against_server
 from fieldspur.record import record
@@ -371,7 +371,7 @@
     def over(self) -> bool:
         """Guards against a hop written to a server that has closed or reset this connection, idle or not, before its reader has had
         a turn: of such a hop nobody could tell that it never ran."""
-        found = looks_at(self.sock).poll(0)
+        found = receive_poll(self.sock).poll(0)
         self.retired |= bool(found and found[0][1] & PEER_CLOSED)
         return self.retired
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -32,7 +32,7 @@
 from fieldspur.net.client_listener import TakeIn, encode
 from fieldspur.net.client_writer import LEFT, UNREAD, Outlet, Relay
 from fieldspur.net.connection_pool import LOOK_CLIENT
-from fieldspur.net.nonblocking import looks_at
+from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.server_connection import Hop, ServerConnection
 
@@ -657,7 +657,7 @@
     send.lanes["c0"] = [first]
     until(lambda: first.ready and cache.conns)
     cache.reset() if how == "resets" else cache.conns[0].shutdown(socket.SHUT_WR)
-    until(lambda: looks_at(first.sock).poll(0))
+    until(lambda: receive_poll(first.sock).poll(0))
     first.heard = clock() - 50 * MS
     assert send.hop(hop) is first
     first.pump()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -24,7 +24,7 @@
 from fieldspur.net.client_listener import Client as ClientSide
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.discovery import DiscoveryClient, ListChange
-from fieldspur.net.nonblocking import looks_at
+from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.open_txns import Answer, Book
 from fieldspur.record import replace
 
@@ -96,7 +96,7 @@
     other = taken_with_limit(send, 3000, ident=6, before_ms=50)
     outlet = send.book.open[6].outlet
     outlet.there.sendall(b"half a frame")
-    until(lambda: looks_at(outlet.sock).poll(0))
+    until(lambda: receive_poll(outlet.sock).poll(0))
     send.hop(other).pump()  # it waits for its client's reader
     time.sleep(0.4)
     assert outlet.hops == [other]
@@ -153,7 +153,7 @@
     attempt = taken_with_limit(send, 3000, ident=6, before_ms=50)
     outlet = send.book.open[6].outlet
     outlet.there.sendall(b"request")
-    until(lambda: looks_at(outlet.sock).poll(0))
+    until(lambda: receive_poll(outlet.sock).poll(0))
     lane = send.hop(attempt)
     lane.pump()
     until(lambda: outlet.hops == [attempt])
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -12,7 +12,7 @@
 
 from fieldspur.net import resp
 from fieldspur.net.discovery import DiscoveryClient, ListChange, ListedServer
-from fieldspur.net.nonblocking import looks_at
+from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.router_host import MOST_QUEUED, RouterHost
 from fieldspur.net.server_connection import Hop
 from fieldspur.permissions import Gate
@@ -151,7 +151,7 @@
     lane = go(send, one)
     until(lambda: cache.wants)
     cache.reset()
-    until(lambda: any(event & select.POLLHUP for _, event in looks_at(lane.sock).poll(0)))
+    until(lambda: any(event & select.POLLHUP for _, event in receive_poll(lane.sock).poll(0)))
     assert send.give_up(one, clock())
     lane.pump()
     go(send, next_of(one))
