--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -14,7 +14,7 @@
 from fieldspur.net.client_writer import TICK, Outlet, Relay
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
-from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, came, receive_poll
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, bytes_received, receive_poll
 from fieldspur.net.open_txns import Answer, Book
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import Accepting, ClientState, CloseReason, close_reason, may_cut
@@ -194,7 +194,7 @@
         """Whether its reader has read bytes that it has not worked off, as far as the system tells: a request among them is owed its
         answer, and would not be taken once this side is shut."""
         with self.outlet.lock:
-            return not self.outlet.ended and (came(self.sock) or 0) > self.outlet.worked_off
+            return not self.outlet.ended and (bytes_received(self.sock) or 0) > self.outlet.worked_off
 
     def overdue(self, now: float) -> CloseReason | None:
         """Why it is to be closed now, if it is."""
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, came, receive_poll, write_now
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, bytes_received, receive_poll, write_now
 from fieldspur.net.open_txns import Answer, Txn
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.record import record
@@ -63,10 +63,10 @@
         self.asked = True
         found = [] if self.ended else self.looks.poll(0)
         what = LEFT if self.ended or found and found[0][1] & PEER_CLOSED else UNREAD if found else ""
-        if in_hand and not what and (came(self.sock) or 0) > self.worked_off:
+        if in_hand and not what and (bytes_received(self.sock) or 0) > self.worked_off:
             what = UNREAD
         if what == UNREAD:
-            self.sent = came(self.sock) or 0
+            self.sent = bytes_received(self.sock) or 0
         self.asked = what == UNREAD or bool(self.hops or self.late)
         return what
 
--- a/fieldspur/net/nonblocking.py
+++ b/fieldspur/net/nonblocking.py
@@ -51,7 +51,7 @@
     return lay if lay < LONGEST_LAY else 0
 
 
-def came(sock: socket.socket) -> int | None:
+def bytes_received(sock: socket.socket) -> int | None:
     """How many bytes the peer of a TCP connection has sent, as the system counts (`tcpi_bytes_received` of tcp(7)'s TCP_INFO; the
     peer's end counts as one); None where it does not tell."""
     try:
