--- a/fieldspur/net/arrival_times.py
+++ b/fieldspur/net/arrival_times.py
@@ -12,7 +12,7 @@
 import threading
 
 from fieldspur.net.client_writer import Relay
-from fieldspur.net.nonblocking import lay_for
+from fieldspur.net.nonblocking import time_since_last_data
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.site import MS
 
@@ -54,7 +54,7 @@
         if now - self.read_at > LATE_READ:  # this thread had no turn, or the process was stopped, or nothing came
             self.late_since = min(self.late_since, self.read_at)
         self.read_at, self.more, self.earliest = now, more, None
-        self.latest = now if self.late_since == NEVER else now - min(lay_for(self.sock), now - self.late_since)
+        self.latest = now if self.late_since == NEVER else now - min(time_since_last_data(self.sock), now - self.late_since)
         self.reads += 1
         if self.reads >= READS_BETWEEN_LOOKS:
             self.first()
--- a/fieldspur/net/nonblocking.py
+++ b/fieldspur/net/nonblocking.py
@@ -40,7 +40,7 @@
     return poll
 
 
-def lay_for(sock: socket.socket) -> int:
+def time_since_last_data(sock: socket.socket) -> int:
     """For how long (ns, to some ms) what the peer sent last has lain in a TCP connection's socket, as the system counts
     (`tcpi_last_data_recv` of TCP_INFO); 0 where it does not tell, or tells what can't be."""
     try:
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -26,7 +26,7 @@
         return seen.waited
 
     monkeypatch.setattr(arrival_times, "core_wait", looked)
-    monkeypatch.setattr(arrival_times, "lay_for", lambda sock: seen.lay)
+    monkeypatch.setattr(arrival_times, "time_since_last_data", lambda sock: seen.lay)
     relay = Relay(1 << 20)
     found = Arrivals(socket.socket(), relay)
     found.read(10_000 * MS, False)
