--- a/fieldspur/bench/count.py
+++ b/fieldspur/bench/count.py
@@ -46,8 +46,8 @@
             json.dump(conf, file)
             file.flush()
             self.service = Service(read_node({"LB_CONFIG": file.name}))
-        self.raw = nonblocking.raw  # no event tells of this one
-        nonblocking.raw = self.counted_raw if self.raw is not None else None
+        self.raw = nonblocking.libc_send  # no event tells of this one
+        nonblocking.libc_send = self.counted_raw if self.raw is not None else None
         self.seen: dict[int, Tally] = {}  # by thread
         self.counting = False
         threading.setprofile(self.event)  # of the threads that the service starts
@@ -77,7 +77,7 @@
         return self.raw(*about)
 
     def close(self) -> None:
-        nonblocking.raw = self.raw
+        nonblocking.libc_send = self.raw
         threading.setprofile(None)
         self.sock.close()
         self.service.takein.close()
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -9,7 +9,7 @@
 from collections import deque
 
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, bytes_received, receive_poll, write_now
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, bytes_received, receive_poll, write_nonblocking
 from fieldspur.net.open_txns import Answer, Txn
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.record import record
@@ -141,7 +141,7 @@
             return
         if not self.writing:
             try:
-                data = write_now(self.sock, data)
+                data = write_nonblocking(self.sock, data)
             except OSError:
                 return self.cut()
             if not data:
--- a/fieldspur/net/nonblocking.py
+++ b/fieldspur/net/nonblocking.py
@@ -64,16 +64,16 @@
 try:
     import ctypes
 
-    raw = ctypes.PyDLL(None, use_errno=True).send
-    raw.argtypes, raw.restype = (ctypes.c_int, ctypes.c_char_p, ctypes.c_size_t, ctypes.c_int), ctypes.c_ssize_t
+    libc_send = ctypes.PyDLL(None, use_errno=True).send
+    libc_send.argtypes, libc_send.restype = (ctypes.c_int, ctypes.c_char_p, ctypes.c_size_t, ctypes.c_int), ctypes.c_ssize_t
 except (ImportError, OSError, AttributeError):  # no such library on this system
-    raw = None
+    libc_send = None
 
 
-def send_now(sock: socket.socket, data: bytes) -> int:
+def send_nonblocking(sock: socket.socket, data: bytes) -> int:
     """How many bytes the socket took at once; 0 where it takes none. Raises OSError as `socket.send` does."""
-    if raw is not None:
-        sent = raw(sock.fileno(), data, len(data), FLAGS)
+    if libc_send is not None:
+        sent = libc_send(sock.fileno(), data, len(data), FLAGS)
         if sent >= 0:
             return sent
         wrong = ctypes.get_errno()
@@ -87,11 +87,11 @@
         return 0
 
 
-def write_now(sock: socket.socket, data: tuple | list) -> list | tuple:
+def write_nonblocking(sock: socket.socket, data: tuple | list) -> list | tuple:
     """Writes buffers as far as the socket takes them at once, long ones without joining them; what is left of them."""
     if len(data) == 1 and type(data[0]) is bytes:
-        if raw is None or (sent := raw(sock.fileno(), data[0], len(data[0]), FLAGS)) < 0:
-            sent = send_now(sock, data[0])
+        if libc_send is None or (sent := libc_send(sock.fileno(), data[0], len(data[0]), FLAGS)) < 0:
+            sent = send_nonblocking(sock, data[0])
         if sent == len(data[0]):
             return ()
     else:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -13,7 +13,7 @@
 
 from fieldspur.net import resp
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, receive_poll, write_now
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, receive_poll, write_nonblocking
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import may_dial_again, speaks_against_server
 from fieldspur.record import record
@@ -213,11 +213,11 @@
         while self.words:
             self.saying.append(self.words.popleft())
         data = b"".join([resp.never_mind(hop.name) for hop in self.saying if hop.written])  # others never went out
-        left = write_now(self.sock, (data,)) if data else ()
+        left = write_nonblocking(self.sock, (data,)) if data else ()
         if left:
             self.past = True
             keep_little(self.sock, ANY)
-            left = write_now(self.sock, left)
+            left = write_nonblocking(self.sock, left)
             keep_little(self.sock)
         self.left = left
         if not left:
@@ -247,7 +247,7 @@
                 return (), None, False
             data = resp.want(hop.want)
             try:
-                left = write_now(self.sock, data)
+                left = write_nonblocking(self.sock, data)
             except OSError:
                 hop.written = 0
                 raise
@@ -263,7 +263,7 @@
         try:
             if not any(len(piece) > JOIN for piece in data):
                 data = (b"".join(data),)
-            left = write_now(self.sock, data)
+            left = write_nonblocking(self.sock, data)
         except OSError:
             for hop, _ in messages:
                 hop.written = 0  # nothing of this write went out: it never ran
@@ -298,7 +298,7 @@
             self.past = True
             try:
                 keep_little(self.sock, ANY)
-                left = write_now(self.sock, left)
+                left = write_nonblocking(self.sock, left)
                 keep_little(self.sock)
             except OSError:
                 if cut is not None:
@@ -366,7 +366,7 @@
             wait = (go_by - (time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)) // MS
             if wait <= 0 or not self.poll().poll(wait):
                 raise OSError("not out in time")
-            left = write_now(self.sock, left)
+            left = write_nonblocking(self.sock, left)
 
     def over(self) -> bool:
         """Guards against a hop written to a server that has closed or reset this connection, idle or not, before its reader has had
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -261,7 +261,7 @@
         one.want.body = b"x" * (500 - sum(map(len, resp.want(one.want))))
     sizes = [sum(map(len, resp.want(one.want))) for one in hops]
     takes = iter([taken])  # and nothing of what is left
-    monkeypatch.setattr("fieldspur.net.server_connection.write_now", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
+    monkeypatch.setattr("fieldspur.net.server_connection.write_nonblocking", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
     lane.draining = True  # nobody else pumps
     for one in hops:
         send.hop(one)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -129,18 +129,18 @@
 
 
 def test_a_write_that_can_not_wait_tells_what_is_left(monkeypatch):
-    for raw in (nonblocking.raw, None):
-        monkeypatch.setattr(nonblocking, "raw", raw)
+    for raw in (nonblocking.libc_send, None):
+        monkeypatch.setattr(nonblocking, "libc_send", raw)
         here, there = socket.socketpair()
         here.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
         data = b"x" * 1_000_000
-        left = nonblocking.write_now(here, (data,))
+        left = nonblocking.write_nonblocking(here, (data,))
         assert 0 < sum(map(len, left)) < len(data)
-        assert nonblocking.write_now(here, left) == left or sum(map(len, left))  # full: nothing goes, nothing waits
+        assert nonblocking.write_nonblocking(here, left) == left or sum(map(len, left))  # full: nothing goes, nothing waits
         there.close()
         with pytest.raises(OSError):
             for _ in range(3):
-                nonblocking.write_now(here, (data,))
+                nonblocking.write_nonblocking(here, (data,))
         here.close()
 
 
