--- a/fieldspur/net/nonblocking.py
+++ b/fieldspur/net/nonblocking.py
@@ -19,7 +19,7 @@
 PEER_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer has closed or reset its side
 
 
-def latest_time_of(stamp: int, now: int, live: bool, ahead: int = 0) -> int:
+def latest_possible_time(stamp: int, now: int, live: bool, ahead: int = 0) -> int:
     """When something that another machine stamped with its Unix time (ns) happened, by the program's clock, at the latest.
 
     What was told while this process watched (`live`) had not happened long before, and is taken to have happened as it was told: no wall
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -15,7 +15,7 @@
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, Purge
 from fieldspur.net.invariants import check_invariant, contained_errors
-from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, latest_time_of
+from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, latest_possible_time
 from fieldspur.net.open_txns import Answer, Book, Txn
 from fieldspur.net.server_connection import Hop
 from fieldspur.net.timer_wheel import NEVER, TimerWheel
@@ -373,7 +373,7 @@
         if s.started != told:
             fleet = self.router.fleet
             ramp = fleet.cold[self.site.kinds.index(s.kind) == fleet.parent_kind][2]
-            at = latest_time_of(s.started, self.clock, live, ramp) if s.started else 0
+            at = latest_possible_time(s.started, self.clock, live, ramp) if s.started else 0
         if s.state != "gone":
             self.starts[s.name] = s.started, at
         return at
@@ -388,7 +388,7 @@
 
     def purged(self, purge: Purge, live: bool = True) -> None:
         self.purges += 1
-        self.router.purged(purge.obj, purge.group, self.clock - latest_time_of(purge.at, self.clock, live))
+        self.router.purged(purge.obj, purge.group, self.clock - latest_possible_time(purge.at, self.clock, live))
 
     # The host interface.
 
