--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -53,7 +53,7 @@
 
 
 def told(name: str, zone: str, line: dict, settle: int) -> Told:
-    """From a member's line; raises BadWord or BadOrder where it is of another fleet or version."""
+    """From a member's line; raises BadLine or BadOrder where it is of another fleet or version."""
     raw = line.get("work")
     if "follower" in line:
         return Told(
@@ -92,7 +92,7 @@
         else:
             try:
                 found[name] = told(name, zone, line, len(fleet.votes or fleet.members))
-            except (register_codec.BadWord, work_orders.BadOrder) as bad:
+            except (register_codec.BadLine, work_orders.BadOrder) as bad:
                 found[name] = f"of another version: {bad}"
     return found
 
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -63,22 +63,22 @@
 
 
 def report(raw: Any, nonce: int) -> Report:
-    """From what a line says under `work`; raises BadWord or BadOrder."""
+    """From what a line says under `work`; raises BadLine or BadOrder."""
     if type(raw) is not dict:
-        raise register_codec.BadWord("work: an object wanted")
+        raise register_codec.BadLine("work: an object wanted")
     open_at, loads, asks, rest = raw.get("open"), raw.get("loads"), raw.get("asks"), raw.get("rest")
     if type(open_at) is not dict or len(open_at) > work_orders.MOST_ORDERS:
-        raise register_codec.BadWord("work.open: a short object wanted")
+        raise register_codec.BadLine("work.open: a short object wanted")
     if loads is not None and (type(loads) is not dict or len(loads) > MOST_LOADS or type(rest) is not list or len(rest) != 2):
-        raise register_codec.BadWord("work.loads and work.rest: a short object and a pair wanted")
+        raise register_codec.BadLine("work.loads and work.rest: a short object and a pair wanted")
     if type(asks) is not list or len(asks) > MOST_ASKS:
-        raise register_codec.BadWord("work.asks: a short list wanted")
+        raise register_codec.BadLine("work.asks: a short list wanted")
     turned = raw.get("turned")
     if type(turned) is not list or len(turned) != 2:
-        raise register_codec.BadWord("work.turned: two figures wanted")
+        raise register_codec.BadLine("work.turned: two figures wanted")
     zone = raw.get("zone")
     if type(zone) is not str or type(raw.get("strict")) is not bool or type(raw.get("doubt")) is not bool:
-        raise register_codec.BadWord("work.zone, work.strict or work.doubt: a name, true or false wanted")
+        raise register_codec.BadLine("work.zone, work.strict or work.doubt: a name, true or false wanted")
     return Report(
         nonce,
         register_codec.number(raw.get("holds"), "work.holds"),
@@ -96,13 +96,13 @@
 
 def load(raw: Any) -> Load:
     if type(raw) is not list or len(raw) < 4:
-        raise register_codec.BadWord("work.loads: three figures and a number wanted")
+        raise register_codec.BadLine("work.loads: three figures and a number wanted")
     return Load(*(figure(one, "work.loads") for one in raw[:3]), register_codec.number(raw[3], "work.loads"))
 
 
 def figure(raw: Any, name: str) -> float:
     if type(raw) not in (int, float) or not 0 <= raw < 1e12:
-        raise register_codec.BadWord(f"{name}: a figure of 0 or more wanted")
+        raise register_codec.BadLine(f"{name}: a figure of 0 or more wanted")
     return float(raw)
 
 
@@ -219,13 +219,13 @@
             self.told_count, self.fresh_loads = self.listed.count, False
 
     def heard(self, value: dict, name: str, nonce: int, own_nonce: int, agreed: Iterable = ()) -> None:
-        """A line of that member or follower, with the values in its register; raises BadWord."""
+        """A line of that member or follower, with the values in its register; raises BadLine."""
         try:
             for one in agreed:
                 work_orders.read(one)
             self.take(value.get("work"), name, nonce, own_nonce)
         except work_orders.BadOrder as bad:
-            raise register_codec.BadWord(str(bad)) from None
+            raise register_codec.BadLine(str(bad)) from None
 
     def take(self, raw: Any, name: str, nonce: int, own_nonce: int) -> None:
         if raw is None:
@@ -239,7 +239,7 @@
             or len(grants) > work_orders.MOST_ROUTERS + len(self.names)
             or not all(type(one) is list and len(one) == 3 and type(one[0]) is str for one in grants)
         ):
-            raise register_codec.BadWord("work.grants: a list of members wanted")
+            raise register_codec.BadLine("work.grants: a list of members wanted")
         rows = [
             (to, register_codec.number(process, "work.grants"), register_codec.number(count, "work.grants"))
             for to, process, count in grants
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -36,7 +36,7 @@
     register_of = Node.register_of
 
     def heard(self, member: int, value: dict, now: int) -> None:
-        """A line of one that settles; raises BadWord where it is none, or of another fleet."""
+        """A line of one that settles; raises BadLine where it is none, or of another fleet."""
         same_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
         self.foreman.heard(value, self.foreman.names[member], register.nonce, self.nonce, (register.decided.value,))
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -15,16 +15,16 @@
 
 
 def same_fleet(fleet: str, value: dict) -> None:
-    """Raises BadWord where a line is of another."""
+    """Raises BadLine where a line is of another."""
     if value.get("fleet") != fleet:
-        raise register_codec.BadWord(f"fleet: {str(value.get('fleet'))[:40]}")
+        raise register_codec.BadLine(f"fleet: {str(value.get('fleet'))[:40]}")
 
 
 def follower_line(fleet: str, name: str, value: dict, foreman, own_nonce: int) -> None:
-    """Takes a follower's line, or raises BadWord."""
+    """Takes a follower's line, or raises BadLine."""
     same_fleet(fleet, value)
     if value.get("follower") != name:
-        raise register_codec.BadWord(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
+        raise register_codec.BadLine(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
     foreman.heard(value, name, register_codec.number(value.get("nonce"), "nonce", 1), own_nonce)
 
 
@@ -70,7 +70,7 @@
     # What comes in.
 
     def heard(self, member: int, value: dict, now: int) -> None:
-        """A line of that member; raises BadWord where it is none, or of another fleet."""
+        """A line of that member; raises BadLine where it is none, or of another fleet."""
         same_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
         backs, tick = (register_codec.ticked(value.get(name), name) for name in ("backs", "tick"))
@@ -94,12 +94,12 @@
             return read
         register = register_codec.register(raw, len(self.views))
         if register.member != member:
-            raise register_codec.BadWord(f"member: {register.member} at {member}'s address")
+            raise register_codec.BadLine(f"member: {register.member} at {member}'s address")
         self.raw[member] = raw, register
         return register
 
     def heard_follower(self, name: str, value: dict, now: int) -> None:
-        """A line of a router that follows; raises BadWord where it is none, or of another fleet."""
+        """A line of a router that follows; raises BadLine where it is none, or of another fleet."""
         follower_line(self.fleet, name, value, self.foreman, self.register.nonce)
         self.members.line(name, value["nonce"], now)
 
--- a/fieldspur/fleet/register_codec.py
+++ b/fieldspur/fleet/register_codec.py
@@ -9,7 +9,7 @@
 MOST = 1 << 62  # of any number in a register
 
 
-class BadWord(ValueError):
+class BadLine(ValueError):
     """A value that is no register; the text names the part."""
 
 
@@ -37,26 +37,26 @@
 
 def number(raw: Any, name: str, least: int = 0) -> int:
     if type(raw) is not int or not least <= raw <= MOST:
-        raise BadWord(f"{name}: a whole number from {least} wanted")
+        raise BadLine(f"{name}: a whole number from {least} wanted")
     return raw
 
 
 def numbers(raw: Any, name: str, many: int, least: int = 0) -> tuple:
     if type(raw) is not list or len(raw) != many:
-        raise BadWord(f"{name}: a list of {many} wanted")
+        raise BadLine(f"{name}: a list of {many} wanted")
     return tuple(number(one, f"{name}[{n}]", least) for n, one in enumerate(raw))
 
 
 def ticked(raw: Any, name: str) -> tuple:
     """A ballot and a tick under it."""
     if type(raw) is not list or len(raw) != 2:
-        raise BadWord(f"{name}: a ballot and a tick wanted")
+        raise BadLine(f"{name}: a ballot and a tick wanted")
     return numbers(raw[0], name, 2, -1), number(raw[1], name)
 
 
 def read_said(raw: Any, name: str) -> Said:
     if type(raw) is not list or len(raw) != 2:
-        raise BadWord(f"{name}: a mark and a value wanted")
+        raise BadLine(f"{name}: a mark and a value wanted")
     return Said(numbers(raw[0], f"{name}.mark", 3, -1), frozen(raw[1]))
 
 
@@ -68,18 +68,18 @@
 
 
 def register(raw: Any, members: int) -> Register:
-    """A register of a fleet of so many; raises BadWord. Keys that are not known are passed over: a later version's."""
+    """A register of a fleet of so many; raises BadLine. Keys that are not known are passed over: a later version's."""
     if type(raw) is not dict:
-        raise BadWord("register: an object wanted")
+        raise BadLine("register: an object wanted")
     missing = [name for name in Register._fields if name not in raw]
     if missing:
-        raise BadWord(f"{missing[0]}: missing")
+        raise BadLine(f"{missing[0]}: missing")
     if type(raw["seen"]) is not list or len(raw["seen"]) != members:
-        raise BadWord(f"seen: a list of {members} wanted")
+        raise BadLine(f"seen: a list of {members} wanted")
     founding = raw["founding"]
     member = number(raw["member"], "member")
     if member >= members:
-        raise BadWord(f"member: below {members} wanted")
+        raise BadLine(f"member: below {members} wanted")
     return Register(
         member,
         number(raw["nonce"], "nonce", 1),
--- a/fieldspur/fleet/register_store.py
+++ b/fieldspur/fleet/register_store.py
@@ -89,10 +89,10 @@
             return None
         try:
             if row[1] != checksum(self.fleet, self.member, row[0]):
-                raise register_codec.BadWord("sum: another one")
+                raise register_codec.BadLine("sum: another one")
             kept = register_codec.register(json.loads(row[0]), self.members)
             if kept.member != self.member:
-                raise register_codec.BadWord(f"member: {kept.member}")
+                raise register_codec.BadLine(f"member: {kept.member}")
             return kept
         except ValueError as wrong:
             self.set_aside(str(wrong))
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -83,7 +83,7 @@
             self.last = value.get("rev") if type(value.get("rev")) is int else self.last
             try:
                 self.talk.heard(self.number, value)
-            except register_codec.BadWord as bad:  # a member of another version or fleet does not end the reading
+            except register_codec.BadLine as bad:  # a member of another version or fleet does not end the reading
                 self.unusable += 1
                 if self.unusable in (1, 10, 100, 1000):
                     log.error("unusable", extra={"kv": {"member": self.name, "why": str(bad), "times": self.unusable}})
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -170,8 +170,8 @@
 def test_a_line_that_is_none_changes_nothing(change, said):
     world = World(3, 1)
     line = world.nodes[1].line()
-    with pytest.raises(register_codec.BadWord, match=said):
+    with pytest.raises(register_codec.BadLine, match=said):
         world.nodes[0].heard(1, line | change, 0)
     assert world.nodes[0].views[1] is None and world.nodes[0].said[1] is None
-    with pytest.raises(register_codec.BadWord, match="member"):
+    with pytest.raises(register_codec.BadLine, match="member"):
         world.nodes[0].heard(2, line, 0)
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -42,9 +42,9 @@
     ],
 )
 def test_what_is_no_register_is_named(change, said):
-    with pytest.raises(register_codec.BadWord, match=said):
+    with pytest.raises(register_codec.BadLine, match=said):
         register_codec.register(json.loads(json.dumps(register_codec.value(register()))) | change, 3)
-    with pytest.raises(register_codec.BadWord):
+    with pytest.raises(register_codec.BadLine):
         register_codec.register([], 3)
 
 
