--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -64,7 +64,7 @@
             consensus.NO_BALLOT,
             False,
             work_orders.NOTHING,
-            report(raw, register_codec.number(line.get("nonce"), "nonce")),
+            report(raw, register_codec.whole_number(line.get("nonce"), "nonce")),
         )
     register = register_codec.register(line["register"], settle)
     return Told(
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -81,9 +81,9 @@
         raise register_codec.BadLine("work.zone, work.strict or work.doubt: a name, true or false wanted")
     return Report(
         nonce,
-        register_codec.number(raw.get("holds"), "work.holds"),
-        register_codec.number(raw.get("count"), "work.count"),
-        {name: register_codec.number(many, "work.open") for name, many in open_at.items()},
+        register_codec.whole_number(raw.get("holds"), "work.holds"),
+        register_codec.whole_number(raw.get("count"), "work.count"),
+        {name: register_codec.whole_number(many, "work.open") for name, many in open_at.items()},
         raw["strict"],
         raw["doubt"],
         {name: load(row) for name, row in loads.items()} if loads is not None else None,
@@ -97,7 +97,7 @@
 def load(raw: Any) -> Load:
     if type(raw) is not list or len(raw) < 4:
         raise register_codec.BadLine("work.loads: three figures and a number wanted")
-    return Load(*(figure(one, "work.loads") for one in raw[:3]), register_codec.number(raw[3], "work.loads"))
+    return Load(*(figure(one, "work.loads") for one in raw[:3]), register_codec.whole_number(raw[3], "work.loads"))
 
 
 def figure(raw: Any, name: str) -> float:
@@ -241,7 +241,7 @@
         ):
             raise register_codec.BadLine("work.grants: a list of members wanted")
         rows = [
-            (to, register_codec.number(process, "work.grants"), register_codec.number(count, "work.grants"))
+            (to, register_codec.whole_number(process, "work.grants"), register_codec.whole_number(count, "work.grants"))
             for to, process, count in grants
         ]
         self.silent.discard(name)
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -25,7 +25,7 @@
     same_fleet(fleet, value)
     if value.get("follower") != name:
         raise register_codec.BadLine(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
-    foreman.heard(value, name, register_codec.number(value.get("nonce"), "nonce", 1), own_nonce)
+    foreman.heard(value, name, register_codec.whole_number(value.get("nonce"), "nonce", 1), own_nonce)
 
 
 def caught_up(views: list, me: int = -1) -> bool:
--- a/fieldspur/fleet/register_codec.py
+++ b/fieldspur/fleet/register_codec.py
@@ -35,7 +35,7 @@
     }
 
 
-def number(raw: Any, name: str, least: int = 0) -> int:
+def whole_number(raw: Any, name: str, least: int = 0) -> int:
     if type(raw) is not int or not least <= raw <= MOST:
         raise BadLine(f"{name}: a whole number from {least} wanted")
     return raw
@@ -44,14 +44,14 @@
 def numbers(raw: Any, name: str, many: int, least: int = 0) -> tuple:
     if type(raw) is not list or len(raw) != many:
         raise BadLine(f"{name}: a list of {many} wanted")
-    return tuple(number(one, f"{name}[{n}]", least) for n, one in enumerate(raw))
+    return tuple(whole_number(one, f"{name}[{n}]", least) for n, one in enumerate(raw))
 
 
 def ticked(raw: Any, name: str) -> tuple:
     """A ballot and a tick under it."""
     if type(raw) is not list or len(raw) != 2:
         raise BadLine(f"{name}: a ballot and a tick wanted")
-    return numbers(raw[0], name, 2, -1), number(raw[1], name)
+    return numbers(raw[0], name, 2, -1), whole_number(raw[1], name)
 
 
 def read_said(raw: Any, name: str) -> Said:
@@ -77,16 +77,16 @@
     if type(raw["seen"]) is not list or len(raw["seen"]) != members:
         raise BadLine(f"seen: a list of {members} wanted")
     founding = raw["founding"]
-    member = number(raw["member"], "member")
+    member = whole_number(raw["member"], "member")
     if member >= members:
         raise BadLine(f"member: below {members} wanted")
     return Register(
         member,
-        number(raw["nonce"], "nonce", 1),
+        whole_number(raw["nonce"], "nonce", 1),
         tuple(numbers(pair, f"seen[{n}]", 2) for n, pair in enumerate(raw["seen"])),
         numbers(raw["lives"], "lives", members),
-        number(raw["life"], "life"),
-        number(raw["back"], "back"),
+        whole_number(raw["life"], "life"),
+        whole_number(raw["back"], "back"),
         numbers(raw["asked"], "asked", 2, -1),
         numbers(raw["promised"], "promised", 2, -1),
         read_said(raw["accepted"], "accepted"),
