--- a/fieldspur/fleet/register_codec.py
+++ b/fieldspur/fleet/register_codec.py
@@ -57,13 +57,13 @@
 def read_said(raw: Any, name: str) -> Said:
     if type(raw) is not list or len(raw) != 2:
         raise BadLine(f"{name}: a mark and a value wanted")
-    return Said(numbers(raw[0], f"{name}.mark", 3, -1), frozen(raw[1]))
+    return Said(numbers(raw[0], f"{name}.mark", 3, -1), freeze(raw[1]))
 
 
-def frozen(raw: Any) -> Any:
+def freeze(raw: Any) -> Any:
     """Agreed values are compared and kept: lists become tuples."""
     if type(raw) is list:
-        return tuple(map(frozen, raw))
+        return tuple(map(freeze, raw))
     return raw
 
 
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -35,7 +35,7 @@
         order = work_orders.Order("a", "elsewhere", "c0", 9.0, 0.0, (), work_orders.NEXT, 1, 0, 1)
         self.documents.append(work_orders.Work(1, (order,)))
         for n, one in enumerate(self.members):
-            one.know(register_codec.frozen(work_orders.value(self.documents[1])))
+            one.know(register_codec.freeze(work_orders.value(self.documents[1])))
             one.applied(1, {"c0": 0})
         for _ in range(2):  # all were told that it is next, and hold leases
             self.pass_time()
@@ -61,12 +61,12 @@
             if n == ROUTER and self.paused:
                 continue
             one.tick(
-                self.now, n == self.acting, [register_codec.frozen(work_orders.value(self.documents[self.number(n)]))], frozenset(), True
+                self.now, n == self.acting, [register_codec.freeze(work_orders.value(self.documents[self.number(n)]))], frozenset(), True
             )
             one.applied(one.work.number, {"c0": 0} if one.work.number else {})
             register = consensus.blank(n, 3, self.nonces[n])._replace(
                 life=1,
-                decided=consensus.Said((1, 0, self.number(n)), register_codec.frozen(work_orders.value(self.documents[self.number(n)]))),
+                decided=consensus.Said((1, 0, self.number(n)), register_codec.freeze(work_orders.value(self.documents[self.number(n)]))),
             )
             self.lines[n] = (one.line(), register)
 
@@ -86,7 +86,7 @@
         if one.work.number != len(self.documents) - 1:
             return False  # it takes over what may be decided first
         one.looked_at = -1 << 60
-        value = one.succeed(register_codec.frozen(work_orders.value(one.work)), self.now)
+        value = one.succeed(register_codec.freeze(work_orders.value(one.work)), self.now)
         if value is None:
             return False
         self.documents.append(work_orders.read(value))
@@ -176,7 +176,7 @@
         """The lease of who acts has ended; what it published last may still be read. The next begins by what was decided."""
         self.changes, self.acting = 1, OTHER
         self.members[ACTS].tick(self.now, False, [()], frozenset(), True)
-        self.members[OTHER].know(register_codec.frozen(work_orders.value(self.documents[-1])))
+        self.members[OTHER].know(register_codec.freeze(work_orders.value(self.documents[-1])))
         self.members[OTHER].granted.acts(True, self.now)
 
 
