--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -66,7 +66,7 @@
             work_orders.NOTHING,
             report(raw, register_codec.whole_number(line.get("nonce"), "nonce")),
         )
-    register = register_codec.register(line["register"], settle)
+    register = register_codec.decode_register(line["register"], settle)
     return Told(
         name,
         zone,
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -92,7 +92,7 @@
         before, read = self.raw[member]
         if raw == before and read is not None:
             return read
-        register = register_codec.register(raw, len(self.views))
+        register = register_codec.decode_register(raw, len(self.views))
         if register.member != member:
             raise register_codec.BadLine(f"member: {register.member} at {member}'s address")
         self.raw[member] = raw, register
--- a/fieldspur/fleet/register_codec.py
+++ b/fieldspur/fleet/register_codec.py
@@ -67,7 +67,7 @@
     return raw
 
 
-def register(raw: Any, members: int) -> Register:
+def decode_register(raw: Any, members: int) -> Register:
     """A register of a fleet of so many; raises BadLine. Keys that are not known are passed over: a later version's."""
     if type(raw) is not dict:
         raise BadLine("register: an object wanted")
--- a/fieldspur/fleet/register_store.py
+++ b/fieldspur/fleet/register_store.py
@@ -90,7 +90,7 @@
         try:
             if row[1] != checksum(self.fleet, self.member, row[0]):
                 raise register_codec.BadLine("sum: another one")
-            kept = register_codec.register(json.loads(row[0]), self.members)
+            kept = register_codec.decode_register(json.loads(row[0]), self.members)
             if kept.member != self.member:
                 raise register_codec.BadLine(f"member: {kept.member}")
             return kept
--- a/fieldspur/lab/checks/work_order_checker.py
+++ b/fieldspur/lab/checks/work_order_checker.py
@@ -38,7 +38,7 @@
     def line(self, member: int, value: dict, size: int, now: int) -> None:
         """A line that a member published."""
         self.lines, self.size = self.lines + 1, self.size + size
-        register = register_codec.register(value["register"], self.many)
+        register = register_codec.decode_register(value["register"], self.many)
         self.lives[member] = register.life
         self.ballots[member] = register.promised if register.life else (0, -1)
         holder = register.promised[1]
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -23,7 +23,7 @@
 
 def test_a_register_is_the_same_after_json_and_a_later_version_s_keys_are_passed_over():
     raw = json.loads(json.dumps(register_codec.value(register()))) | {"later": 1}
-    assert register_codec.register(raw, 3) == register()
+    assert register_codec.decode_register(raw, 3) == register()
 
 
 @pytest.mark.parametrize(
@@ -43,9 +43,9 @@
 )
 def test_what_is_no_register_is_named(change, said):
     with pytest.raises(register_codec.BadLine, match=said):
-        register_codec.register(json.loads(json.dumps(register_codec.value(register()))) | change, 3)
+        register_codec.decode_register(json.loads(json.dumps(register_codec.value(register()))) | change, 3)
     with pytest.raises(register_codec.BadLine):
-        register_codec.register([], 3)
+        register_codec.decode_register([], 3)
 
 
 def test_what_was_kept_is_there_after_a_restart_and_asks_for_a_ballot_of_its_own_anew(tmp_path):
