--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -219,7 +219,7 @@
         own = self.lease.ballot == self.register.asked == self.register.promised
         return {
             "fleet": self.fleet,
-            "register": register_codec.value(self.register),
+            "register": register_codec.encode_register(self.register),
             "tick": [list(self.lease.ballot), self.lease.tick] if own else [list(NO_BALLOT), 0],
             "backs": [list(self.lease.backs.ballot), self.lease.backs.tick],
             **(self.foreman.line() if self.foreman is not None else {}),
--- a/fieldspur/fleet/register_codec.py
+++ b/fieldspur/fleet/register_codec.py
@@ -17,7 +17,7 @@
     return [list(of.mark), of.value]
 
 
-def value(register: Register) -> dict:
+def encode_register(register: Register) -> dict:
     """A register as JSON: numbers, lists, and the agreed values as they are."""
     return {
         "member": register.member,
--- a/fieldspur/fleet/register_store.py
+++ b/fieldspur/fleet/register_store.py
@@ -100,7 +100,7 @@
 
     def keep(self, register: Register) -> None:
         """It is on disk when this comes back; raises NotKept, and then what was kept before still is."""
-        body = json.dumps(register_codec.value(register), separators=(",", ":"))
+        body = json.dumps(register_codec.encode_register(register), separators=(",", ":"))
         try:
             if self.base is None:
                 self.open()
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -22,7 +22,7 @@
 
 
 def test_a_register_is_the_same_after_json_and_a_later_version_s_keys_are_passed_over():
-    raw = json.loads(json.dumps(register_codec.value(register()))) | {"later": 1}
+    raw = json.loads(json.dumps(register_codec.encode_register(register()))) | {"later": 1}
     assert register_codec.decode_register(raw, 3) == register()
 
 
@@ -43,7 +43,7 @@
 )
 def test_what_is_no_register_is_named(change, said):
     with pytest.raises(register_codec.BadLine, match=said):
-        register_codec.decode_register(json.loads(json.dumps(register_codec.value(register()))) | change, 3)
+        register_codec.decode_register(json.loads(json.dumps(register_codec.encode_register(register()))) | change, 3)
     with pytest.raises(register_codec.BadLine):
         register_codec.decode_register([], 3)
 
