--- a/fieldspur/fleet/consensus.py
+++ b/fieldspur/fleet/consensus.py
@@ -19,14 +19,14 @@
 NO_MARK: Mark = (0, -1, -1)
 
 
-class Said(NamedTuple):
+class StampedValue(NamedTuple):
     """A value and the mark under which its proposer said it. `value` is None before the first."""
 
     mark: Mark = NO_MARK
     value: Any = None
 
 
-NOTHING = Said()
+NOTHING = StampedValue()
 
 
 class Register(NamedTuple):
@@ -42,9 +42,9 @@
     back: int = 0
     asked: Ballot = NO_BALLOT  # the latest ballot it asked for itself
     promised: Ballot = NO_BALLOT
-    accepted: Said = NOTHING
-    said: Said = NOTHING  # what it proposes under its own ballot
-    decided: Said = NOTHING
+    accepted: StampedValue = NOTHING
+    said: StampedValue = NOTHING  # what it proposes under its own ballot
+    decided: StampedValue = NOTHING
     founding: tuple = ()  # the nonces of all, where an operator said that there has been no fleet before
 
 
@@ -178,12 +178,12 @@
         value = last.value if last.mark != NO_MARK else successor(None)
         if value is None:
             return me
-        said = Said((*me.asked, 0), value)
+        said = StampedValue((*me.asked, 0), value)
     elif me.decided.mark == me.said.mark:
         value = successor(me.decided.value)
         if value is None:
             return me
-        said = Said((*me.asked, me.said.mark[2] + 1), value)
+        said = StampedValue((*me.asked, me.said.mark[2] + 1), value)
     else:
         return me
     return me._replace(said=said, accepted=said)
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 from fieldspur.fleet import consensus
-from fieldspur.fleet.consensus import Register, Said
+from fieldspur.fleet.consensus import Register, StampedValue
 from fieldspur.fleet.coordinator import Foreman
 from fieldspur.fleet.failure_detector import Members
 from fieldspur.fleet.member import BEATS, Node, caught_up, may_be, same_fleet
@@ -17,7 +17,9 @@
 
     fenced = False
 
-    def __init__(self, fleet: str, name: str, nonce: int, members: int, now: int, length: int, foreman: Foreman, kept: Said | None = None):
+    def __init__(
+        self, fleet: str, name: str, nonce: int, members: int, now: int, length: int, foreman: Foreman, kept: StampedValue | None = None
+    ):
         self.fleet, self.name, self.nonce, self.foreman = fleet, name, nonce, foreman
         self.beat = length // BEATS
         self.views: list = [None] * members
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from fieldspur.fleet import consensus, register_codec
-from fieldspur.fleet.consensus import NO_BALLOT, Register, Said
+from fieldspur.fleet.consensus import NO_BALLOT, Register, StampedValue
 from fieldspur.fleet.failure_detector import Members
 from fieldspur.fleet.lease import Backs, Lease
 
@@ -150,7 +150,7 @@
         """What follows on the agreed value; None where nothing does, or this member does not hold the lease at this moment."""
         return self.foreman.succeed(value, self.now) if self.foreman is not None and self.acts(self.now) else None
 
-    def known(self) -> Said:
+    def known(self) -> StampedValue:
         """The latest that is decided, as far as is known here. What a member learned before it forgot stays decided."""
         return max((one.decided for one in self.seen() if one is not None), key=lambda said: said.mark)
 
--- a/fieldspur/fleet/register_codec.py
+++ b/fieldspur/fleet/register_codec.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from fieldspur.fleet.consensus import Register, Said
+from fieldspur.fleet.consensus import Register, StampedValue
 
 MOST = 1 << 62  # of any number in a register
 
@@ -13,7 +13,7 @@
     """A value that is no register; the text names the part."""
 
 
-def said(of: Said) -> list:
+def said(of: StampedValue) -> list:
     return [list(of.mark), of.value]
 
 
@@ -54,10 +54,10 @@
     return numbers(raw[0], name, 2, -1), whole_number(raw[1], name)
 
 
-def read_said(raw: Any, name: str) -> Said:
+def read_said(raw: Any, name: str) -> StampedValue:
     if type(raw) is not list or len(raw) != 2:
         raise BadLine(f"{name}: a mark and a value wanted")
-    return Said(numbers(raw[0], f"{name}.mark", 3, -1), freeze(raw[1]))
+    return StampedValue(numbers(raw[0], f"{name}.mark", 3, -1), freeze(raw[1]))
 
 
 def freeze(raw: Any) -> Any:
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -66,7 +66,9 @@
             one.applied(one.work.number, {"c0": 0} if one.work.number else {})
             register = consensus.blank(n, 3, self.nonces[n])._replace(
                 life=1,
-                decided=consensus.Said((1, 0, self.number(n)), register_codec.freeze(work_orders.value(self.documents[self.number(n)]))),
+                decided=consensus.StampedValue(
+                    (1, 0, self.number(n)), register_codec.freeze(work_orders.value(self.documents[self.number(n)]))
+                ),
             )
             self.lines[n] = (one.line(), register)
 
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -17,7 +17,7 @@
 
 def register(round_=3, value=("out", "c1")):
     state, _ = founded(3)
-    said = consensus.Said((round_, 1, 0), value)
+    said = consensus.StampedValue((round_, 1, 0), value)
     return state[1]._replace(promised=(round_, 1), asked=(round_, 1), accepted=said, said=said)
 
 
