--- a/fieldspur/fleet/consensus.py
+++ b/fieldspur/fleet/consensus.py
@@ -26,7 +26,7 @@
     value: Any = None
 
 
-NOTHING = StampedValue()
+NO_VALUE = StampedValue()
 
 
 class Register(NamedTuple):
@@ -42,9 +42,9 @@
     back: int = 0
     asked: Ballot = NO_BALLOT  # the latest ballot it asked for itself
     promised: Ballot = NO_BALLOT
-    accepted: StampedValue = NOTHING
-    said: StampedValue = NOTHING  # what it proposes under its own ballot
-    decided: StampedValue = NOTHING
+    accepted: StampedValue = NO_VALUE
+    said: StampedValue = NO_VALUE  # what it proposes under its own ballot
+    decided: StampedValue = NO_VALUE
     founding: tuple = ()  # the nonces of all, where an operator said that there has been no fleet before
 
 
@@ -56,7 +56,7 @@
 def resume(kept: Register, nonce: int) -> Register:
     """A member that starts again with its memory: the same life, a new process. Of ballots of its own it asks anew, for what
     was said back to the process before, a lease's ticks above all, is not for this one."""
-    return kept._replace(nonce=nonce, asked=NO_BALLOT, said=NOTHING, founding=())
+    return kept._replace(nonce=nonce, asked=NO_BALLOT, said=NO_VALUE, founding=())
 
 
 def majority(members: int) -> int:
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -25,7 +25,7 @@
         self.views: list = [None] * members
         self.raw: list = [(None, None)] * members
         self.members = Members(-1, members, now, self.beat, self.beat // 4)
-        self.resumed, self.decided = kept is not None, kept or consensus.NOTHING
+        self.resumed, self.decided = kept is not None, kept or consensus.NO_VALUE
         foreman.know(self.decided.value)
 
     def remember(self, kept: Register, now: int) -> None:
