--- a/fieldspur/fleet/consensus.py
+++ b/fieldspur/fleet/consensus.py
@@ -14,15 +14,15 @@
 from typing import Any, NamedTuple
 
 Ballot = tuple  # (round, member): who asks in which round; greater ones bind
-Mark = tuple  # (round, member, number): the ballot and how many values its owner has said under it before
+Stamp = tuple  # (round, member, number): the ballot and how many values its owner has said under it before
 NO_BALLOT: Ballot = (0, -1)
-NO_MARK: Mark = (0, -1, -1)
+NO_STAMP: Stamp = (0, -1, -1)
 
 
 class StampedValue(NamedTuple):
     """A value and the mark under which its proposer said it. `value` is None before the first."""
 
-    mark: Mark = NO_MARK
+    stamp: Stamp = NO_STAMP
     value: Any = None
 
 
@@ -73,10 +73,10 @@
     return consistent([one for one in views if one is not None and one.life and one.promised == ballot])
 
 
-def acceptances(views: Sequence[Register | None], mark: Mark) -> list[Register]:
+def acceptances(views: Sequence[Register | None], stamp: Stamp) -> list[Register]:
     """The members whose acceptance of `mark` counts together. One that has promised a later ballot does not: it may
     have taken over the acceptance from another, after its promise, when it came back."""
-    return consistent([one for one in views if one is not None and one.life and one.accepted.mark == mark and one.promised == mark[:2]])
+    return consistent([one for one in views if one is not None and one.life and one.accepted.stamp == stamp and one.promised == stamp[:2]])
 
 
 def fresh(me: Register, one: Register) -> bool:
@@ -134,8 +134,8 @@
         life=me.back,
         lives=tuple(lives),
         promised=max(one.promised for one in know),
-        accepted=max((one.accepted for one in know), key=lambda said: said.mark),
-        decided=max((one.decided for one in know), key=lambda said: said.mark),
+        accepted=max((one.accepted for one in know), key=lambda said: said.stamp),
+        decided=max((one.decided for one in know), key=lambda said: said.stamp),
     )
 
 
@@ -164,7 +164,7 @@
     return (
         me.life > 0
         and me.promised == me.asked != NO_BALLOT
-        and (me.said.mark[:2] == me.asked or len(promises(views, me.asked)) >= majority(len(views)))
+        and (me.said.stamp[:2] == me.asked or len(promises(views, me.asked)) >= majority(len(views)))
     )
 
 
@@ -173,17 +173,17 @@
     what it got decided last; None where nothing is to follow. `views` holds its own register too."""
     if not leads(me, views):
         return me
-    if me.said.mark[:2] != me.asked:
-        last = max((one.accepted for one in promises(views, me.asked)), key=lambda said: said.mark)
-        value = last.value if last.mark != NO_MARK else successor(None)
+    if me.said.stamp[:2] != me.asked:
+        last = max((one.accepted for one in promises(views, me.asked)), key=lambda said: said.stamp)
+        value = last.value if last.stamp != NO_STAMP else successor(None)
         if value is None:
             return me
         said = StampedValue((*me.asked, 0), value)
-    elif me.decided.mark == me.said.mark:
+    elif me.decided.stamp == me.said.stamp:
         value = successor(me.decided.value)
         if value is None:
             return me
-        said = StampedValue((*me.asked, me.said.mark[2] + 1), value)
+        said = StampedValue((*me.asked, me.said.stamp[2] + 1), value)
     else:
         return me
     return me._replace(said=said, accepted=said)
@@ -207,12 +207,12 @@
             continue
         if one.asked > me.promised and may_promise(one.asked):
             me = me._replace(promised=one.asked)
-        if one.said.mark > me.accepted.mark and one.said.mark[:2] >= me.promised:
-            me = me._replace(promised=one.said.mark[:2], accepted=one.said)
-        if one.decided.mark > me.decided.mark:
+        if one.said.stamp > me.accepted.stamp and one.said.stamp[:2] >= me.promised:
+            me = me._replace(promised=one.said.stamp[:2], accepted=one.said)
+        if one.decided.stamp > me.decided.stamp:
             me = me._replace(decided=one.decided)
-    if me.said.mark > me.decided.mark and me.said.mark[:2] == me.promised:
+    if me.said.stamp > me.decided.stamp and me.said.stamp[:2] == me.promised:
         mine = [me if one is not None and one.member == me.member else one for one in views]
-        if len(acceptances(mine, me.said.mark)) >= majority(len(views)):
+        if len(acceptances(mine, me.said.stamp)) >= majority(len(views)):
             me = me._replace(decided=me.said)
     return me
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -31,7 +31,7 @@
     def remember(self, kept: Register, now: int) -> None:
         """What it had kept could be read only now."""
         self.resumed = True
-        if kept.decided.mark > self.decided.mark:
+        if kept.decided.stamp > self.decided.stamp:
             self.decided = kept.decided
             self.foreman.know(self.decided.value)
 
@@ -44,7 +44,7 @@
         self.foreman.heard(value, self.foreman.names[member], register.nonce, self.nonce, (register.decided.value,))
         self.views[member] = register
         self.members.line(member, register.nonce, now)
-        if register.decided.mark > self.decided.mark:
+        if register.decided.stamp > self.decided.stamp:
             self.decided = register.decided
             self.foreman.know(self.decided.value)
 
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -152,7 +152,7 @@
 
     def known(self) -> StampedValue:
         """The latest that is decided, as far as is known here. What a member learned before it forgot stays decided."""
-        return max((one.decided for one in self.seen() if one is not None), key=lambda said: said.mark)
+        return max((one.decided for one in self.seen() if one is not None), key=lambda said: said.stamp)
 
     def founded(self) -> bool:
         """There is a fleet, or there may be one: not all others were heard."""
--- a/fieldspur/fleet/register_codec.py
+++ b/fieldspur/fleet/register_codec.py
@@ -14,7 +14,7 @@
 
 
 def said(of: StampedValue) -> list:
-    return [list(of.mark), of.value]
+    return [list(of.stamp), of.value]
 
 
 def encode_register(register: Register) -> dict:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fieldspur.fleet import consensus
-from fieldspur.fleet.consensus import NO_MARK, blank
+from fieldspur.fleet.consensus import NO_STAMP, blank
 
 
 def founded(members=3):
@@ -68,7 +68,7 @@
         mine = mine[:n] + (me,) + mine[n + 1 :]
         me = consensus.step(me, mine)
         mine = mine[:n] + (me,) + mine[n + 1 :]
-    if me.decided.mark != NO_MARK:
+    if me.decided.stamp != NO_STAMP:
         value = me.decided.value
         if decided and value[: len(decided)] != decided[: len(value)]:
             raise Broken(f"{decided} was decided, and {value} at member {n}")
@@ -121,7 +121,7 @@
         assert self.state[n].life > 1
 
     def decided(self):
-        return {one.decided.value for one in self.state if one.decided.mark != NO_MARK}
+        return {one.decided.value for one in self.state if one.decided.stamp != NO_STAMP}
 
 
 def a_promise_of_an_older_life():
@@ -181,8 +181,8 @@
             an_acceptance_taken_over_after_a_later_promise,
             (
                 "acceptances",
-                lambda views, mark: consensus.consistent(
-                    [one for one in views if one is not None and one.life and one.accepted.mark == mark]
+                lambda views, stamp: consensus.consistent(
+                    [one for one in views if one is not None and one.life and one.accepted.stamp == stamp]
                 ),
             ),
         ),
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -80,7 +80,7 @@
         """b reads what a published last."""
         line, register = self.lines[a]
         self.members[b].heard(line, f"r{a}", register.nonce, self.nonces[b], (register.decided.value,))
-        if register.decided.mark[2] > self.number(b):
+        if register.decided.stamp[2] > self.number(b):
             self.members[b].know(register.decided.value)
 
     def decide(self):
@@ -123,7 +123,7 @@
                     said["doubt"],
                     said["count"] > 0,
                     self.age(n, said["count"]),
-                    register.decided.mark[2],
+                    register.decided.stamp[2],
                     tuple((m, nonce == self.nonce(m), self.age(m, count)) for m, nonce, count in said.get("grants", ())),
                     tuple(sorted((m, nonce == self.nonce(m), self.age(m, count)) for m, (nonce, count) in one.grants.items())),
                     tuple(
