--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -13,7 +13,7 @@
 from fieldspur.host import RESULTS
 from fieldspur.net import invariants, logs
 from fieldspur.net.admission import Admit
-from fieldspur.net.client_listener import TakeIn
+from fieldspur.net.client_listener import ClientListener
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient
@@ -69,7 +69,7 @@
             overlay = Overlay(self.route)
         self.board = self.send.board = DiscoveryClient(node.board, overlay or self.route, node.seed)
         self.board.begin(node.known, node.known_to)
-        self.takein = TakeIn(
+        self.takein = ClientListener(
             node.listen,
             node.sockets // 2,
             int(node.memory * share.frames),
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -71,7 +71,7 @@
 class Client:
     """One client's connection; its reader runs `read`."""
 
-    def __init__(self, takein: TakeIn, sock: socket.socket):
+    def __init__(self, takein: ClientListener, sock: socket.socket):
         self.takein, self.sock = takein, sock
         self.outlet = Outlet(sock, encode, takein.relay)
         self.outlet.freed = self.free
@@ -208,7 +208,7 @@
         )
 
 
-class TakeIn:
+class ClientListener:
     def __init__(
         self, listen: tuple[str, int], most_clients: int, most_bytes: int, gone_after: int, admit: Admit, book: Book, route, relay: Relay
     ):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -29,7 +29,7 @@
 
 from fieldspur.decide import MS, SECOND
 from fieldspur.net import resp
-from fieldspur.net.client_listener import TakeIn, encode
+from fieldspur.net.client_listener import ClientListener, encode
 from fieldspur.net.client_writer import LEFT, UNREAD, Outlet, Relay
 from fieldspur.net.connection_pool import LOOK_CLIENT
 from fieldspur.net.nonblocking import receive_poll
@@ -350,7 +350,7 @@
     route = SimpleNamespace(gather=lambda: None, handle=lambda: None, post=lambda *about: None, withdrawn=None)
     admit = SimpleNamespace(taken=[], come_back_ms=0)
     admit.request = lambda request, outlet, now: outlet.open(request.stream, 7) and not admit.taken.append(request.stream)
-    return TakeIn(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, book, route, relay)
+    return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, book, route, relay)
 
 
 def joins(takein, accept=True):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,7 +17,7 @@
 from fieldspur.net import resp
 from fieldspur.net.admission import Admit
 from fieldspur.net.client_listener import Client as ClientSide
-from fieldspur.net.client_listener import TakeIn, encode
+from fieldspur.net.client_listener import ClientListener, encode
 from fieldspur.net.client_writer import Outlet, Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, ListedServer
@@ -712,7 +712,7 @@
     """Found by the laboratory's herd: a router stopped for 6 s closed connections as idle before their readers had a turn; what a
     client had sent meanwhile was never answered."""
     book, relay = Book(), Relay(1 << 20)
-    takein = TakeIn(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, book, None, relay)
+    takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, book, None, relay)
     here, there = socket.socketpair()
     client = ClientSide(takein, here)
     takein.clients.add(client)
