--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -68,7 +68,7 @@
         return True
 
 
-class Client:
+class ClientConnection:
     """One client's connection; its reader runs `read`."""
 
     def __init__(self, takein: ClientListener, sock: socket.socket):
@@ -217,7 +217,7 @@
         self.most_bytes, self.bytes = most_bytes, 0  # of unfinished frames
         self.ready = self.over = False  # over: the program's end has begun
         self.spare = max(2, most_clients // 16)
-        self.clients: set[Client] = set()
+        self.clients: set[ClientConnection] = set()
         self.closed_for = ReasonCounter(CloseReason)  # connections closed by this side
         self.lock = threading.Lock()
         self.room = threading.Condition(self.lock)  # told when a descriptor is free
@@ -255,7 +255,7 @@
             self.closed_for.add(CloseReason.NO_OPTIONS)
             sock.close()
             return
-        client = Client(self, sock)
+        client = ClientConnection(self, sock)
         with self.lock:
             self.clients.add(client)
         try:
@@ -288,7 +288,7 @@
                 else:
                     client.outlet.shut_if_idle()
 
-    def closing_for(self, client: Client, why: CloseReason) -> None:
+    def closing_for(self, client: ClientConnection, why: CloseReason) -> None:
         """Counts and logs why a client's connection is shut or cut off."""
         self.closed_for.add(why)
         log.info("closed", extra={"kv": {"why": why.value, "open": len(client.outlet.streams), "held": client.held}})
@@ -315,7 +315,7 @@
                 client.outlet.cut_off()
             return self.room.wait_for(lambda: len(self.clients) < most, ROOM_WAIT)
 
-    def hold(self, client: Client, size: int) -> None:
+    def hold(self, client: ClientConnection, size: int) -> None:
         """What a client has of an unfinished frame; beyond the bound of all, whoever has most is closed."""
         with self.lock:
             self.bytes += size - client.held
@@ -333,12 +333,12 @@
         if self.book.withdraw(ident, left):
             self.route.post(self.route.withdrawn, ident)
 
-    def freed(self, client: Client) -> None:
+    def freed(self, client: ClientConnection) -> None:
         with self.lock:
             self.clients.discard(client)
             self.room.notify()
 
-    def ended(self, client: Client) -> None:
+    def ended(self, client: ClientConnection) -> None:
         client.outlet.end()
         for ident in list(client.outlet.streams.values()):
             self.withdraw(ident, left=True)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -16,8 +16,7 @@
 from fieldspur.net import invariants as holding
 from fieldspur.net import resp
 from fieldspur.net.admission import Admit
-from fieldspur.net.client_listener import Client as ClientSide
-from fieldspur.net.client_listener import ClientListener, encode
+from fieldspur.net.client_listener import ClientConnection, ClientListener, encode
 from fieldspur.net.client_writer import Outlet, Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, ListedServer
@@ -446,7 +445,7 @@
 
 def test_a_connection_used_as_it_should_be_is_kept_for_longer_than_one_that_is_not():
     here, _there = socket.socketpair()
-    client = ClientSide(SimpleNamespace(relay=Relay(1 << 20), gone_after_ms=30_000), here)
+    client = ClientConnection(SimpleNamespace(relay=Relay(1 << 20), gone_after_ms=30_000), here)
     begun = client.since
     assert not client.overdue(begun + 1.9) and client.overdue(begun + 2.1) == "idle"
     client.proved = True
@@ -714,7 +713,7 @@
     book, relay = Book(), Relay(1 << 20)
     takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, book, None, relay)
     here, there = socket.socketpair()
-    client = ClientSide(takein, here)
+    client = ClientConnection(takein, here)
     takein.clients.add(client)
     client.proved, later = True, time.monotonic() + 60
     there.sendall(b"\0")
