--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -52,7 +52,7 @@
     return retry_while_exhausted(listen, OSError, LISTEN_PAUSE)
 
 
-class Used:
+class UsedStreams:
     """Stream numbers that a connection has used: all up to `low`, and some above."""
 
     def __init__(self):
@@ -75,7 +75,7 @@
         self.takein, self.sock = takein, sock
         self.outlet = Outlet(sock, encode, takein.relay)
         self.outlet.freed = self.free
-        self.used = Used()
+        self.used = UsedStreams()
         self.since = time.monotonic()  # its accept, or when its unfinished frame began, or it could not be read
         self.held = 0  # bytes of an unfinished frame
         self.proved = False  # has sent a request that could be used
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from fieldspur.net import frames, resp
-from fieldspur.net.client_listener import Used
+from fieldspur.net.client_listener import UsedStreams
 from fieldspur.net.logs import MOST_A_SECOND, Flood, KeyValue, word
 from fieldspur.site import BadSite, deployment, read_node
 
@@ -197,7 +197,7 @@
 
 
 def test_streams_are_new_only_once_in_any_order():
-    used = Used()
+    used = UsedStreams()
     assert [used.new(n) for n in (1, 3, 2, 3, 1, 4, 0)] == [True, True, True, False, False, True, False]
     assert used.low == 4 and not used.above
 
