--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -12,7 +12,7 @@
 
 from fieldspur.host import RESULTS
 from fieldspur.net import invariants, logs
-from fieldspur.net.admission import Admit
+from fieldspur.net.admission import Admission
 from fieldspur.net.client_listener import ClientListener
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
@@ -74,7 +74,7 @@
             node.sockets // 2,
             int(node.memory * share.frames),
             site.idle_close,
-            Admit(site, self.book, self.route, int(node.memory * share.bodies)),
+            Admission(site, self.book, self.route, int(node.memory * share.bodies)),
             self.book,
             self.route,
             self.relay,
--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -18,7 +18,7 @@
 # Where the Router runs behind, so much more is taken off, for it would answer late by that.
 
 
-class Admit:
+class Admission:
     def __init__(self, site: Deployment, book: Book, route, most_bytes: int):
         self.book, self.route, self.most_open, self.most_bytes = book, route, site.most_open, most_bytes
         self.come_back_ms = site.router["longest_come_back"] // MS
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -9,7 +9,7 @@
 import time
 
 from fieldspur.net import frames
-from fieldspur.net.admission import Admit
+from fieldspur.net.admission import Admission
 from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, Arrivals
 from fieldspur.net.client_writer import TICK, Outlet, Relay
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
@@ -210,7 +210,15 @@
 
 class ClientListener:
     def __init__(
-        self, listen: tuple[str, int], most_clients: int, most_bytes: int, gone_after: int, admit: Admit, book: Book, route, relay: Relay
+        self,
+        listen: tuple[str, int],
+        most_clients: int,
+        most_bytes: int,
+        gone_after: int,
+        admit: Admission,
+        book: Book,
+        route,
+        relay: Relay,
     ):
         self.admit, self.book, self.route, self.relay = admit, book, route, relay
         self.most_clients, self.gone_after_ms = most_clients, gone_after // MS
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -15,7 +15,7 @@
 from fieldspur.host import RESULTS
 from fieldspur.net import invariants as holding
 from fieldspur.net import resp
-from fieldspur.net.admission import Admit
+from fieldspur.net.admission import Admission
 from fieldspur.net.client_listener import ClientConnection, ClientListener, encode
 from fieldspur.net.client_writer import Outlet, Relay
 from fieldspur.net.connection_pool import ConnectionPool
@@ -632,7 +632,7 @@
 def test_bodies_that_no_memory_is_left_for_are_refused_at_once():
     here, there = socket.socketpair()
     site, outlet = deployment(settings()), Outlet(here, encode, Relay(1 << 20))
-    admit = Admit(site, Book(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
+    admit = Admission(site, Book(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
     for stream in (1, 2):
         admit.request(Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), outlet, clock())
     assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(outlet.streams) == [1]
@@ -643,7 +643,7 @@
     route = RouterHost(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
-    admit, outlet = Admit(route.site, route.book, route, 1000), Outlet(here, encode, route.relay)
+    admit, outlet = Admission(route.site, route.book, route, 1000), Outlet(here, encode, route.relay)
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
     route.lock.acquire()  # another thread is at it, and does not get on
     admit.request(request, outlet, 0)
