--- a/fieldspur/net/arrival_times.py
+++ b/fieldspur/net/arrival_times.py
@@ -35,7 +35,7 @@
         os.close(file)
 
 
-class Arrivals:
+class ArrivalTimes:
     """Dates what one connection's reader reads. For that thread alone."""
 
     def __init__(self, sock: socket.socket, relay: Relay):
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -10,7 +10,7 @@
 
 from fieldspur.net import frames
 from fieldspur.net.admission import Admission
-from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, Arrivals
+from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, ArrivalTimes
 from fieldspur.net.client_writer import TICK, Outlet, Relay
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
@@ -83,7 +83,7 @@
 
     def read(self) -> None:
         decoder, after, behind, taken = frames.Decoder(), 0, 0, False
-        window, arrivals = decoder.window, Arrivals(self.sock, self.takein.relay)
+        window, arrivals = decoder.window, ArrivalTimes(self.sock, self.takein.relay)
         looks = receive_poll(self.sock).poll
         try:
             while size := self.sock.recv_into(window.view if self.failed or self.outlet.shut_at else window.room()):
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -12,7 +12,7 @@
 
 from fieldspur.decide import MS
 from fieldspur.net import arrival_times
-from fieldspur.net.arrival_times import READS_BETWEEN_LOOKS, Arrivals, core_wait
+from fieldspur.net.arrival_times import READS_BETWEEN_LOOKS, ArrivalTimes, core_wait
 from fieldspur.net.client_writer import TICK_LATE, Relay
 
 
@@ -28,7 +28,7 @@
     monkeypatch.setattr(arrival_times, "core_wait", looked)
     monkeypatch.setattr(arrival_times, "time_since_last_data", lambda sock: seen.lay)
     relay = Relay(1 << 20)
-    found = Arrivals(socket.socket(), relay)
+    found = ArrivalTimes(socket.socket(), relay)
     found.read(10_000 * MS, False)
     found.worked_off(unfinished=False)
     relay.tick(12_000 * MS)
