--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -5,7 +5,7 @@
 import re
 import struct
 
-from fieldspur.net.receive_buffer import Window
+from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.record import record
 
 REQUEST, ANSWER, GONE, ASK_READY, READY, NO_MORE = 65, 66, 67, 80, 81, 90
@@ -171,7 +171,7 @@
     """Cuts what clients send into values, across any split of reads."""
 
     def __init__(self):
-        self.window = Window(FIRST, eager=False)
+        self.window = ReceiveBuffer(FIRST, eager=False)
 
     def feed(self, data: bytes):
         """Yields values; raises BadFrame where nothing more can be read."""
--- a/fieldspur/net/receive_buffer.py
+++ b/fieldspur/net/receive_buffer.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Window:
+class ReceiveBuffer:
     """Bytes read and not yet taken are `buf[start:end]`.
 
     The reader reads into `room()`, moves `end` by what came and `start` past what it took. Where it knows how long the
--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -4,7 +4,7 @@
 
 import re
 
-from fieldspur.net.receive_buffer import Window
+from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.record import record
 from fieldspur.site import LOADS, MS
 
@@ -180,7 +180,7 @@
     """Cuts what a server sends into values, across any split of reads; nothing is read twice or copied whole."""
 
     def __init__(self):
-        self.window = Window(FIRST, eager=True)
+        self.window = ReceiveBuffer(FIRST, eager=True)
         self.at = 0  # read so far of the present array, from its start
         self.due = 0  # items of it still to come
         self.items: list[slice] = []  # where they lie, from its start
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -26,7 +26,7 @@
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.net.open_txns import Answer, Book, Txn
-from fieldspur.net.receive_buffer import Window
+from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.net.router_host import RouterHost
 from fieldspur.net.server_connection import Hop
 from fieldspur.net.timer_wheel import NEVER, SHIFT, TimerWheel
@@ -63,7 +63,7 @@
 @given(st.booleans(), st.lists(st.integers(1, 9000), min_size=1, max_size=12), st.randoms(use_true_random=False))
 def test_a_window_keeps_every_byte_in_order_and_never_reads_into_nothing(eager, sizes, chance):
     """Messages of a known length pass whatever the reads bring, and a steady state makes no new buffer."""
-    window, sent = Window(256, eager), b"".join(bytes([n % 251]) * size for n, size in enumerate(sizes))
+    window, sent = ReceiveBuffer(256, eager), b"".join(bytes([n % 251]) * size for n, size in enumerate(sizes))
     at, done = 0, 0
     while done < len(sizes):
         room = window.room()
