--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -19,7 +19,7 @@
 from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import contained_errors, keep_running, retry_while_exhausted
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
-from fieldspur.net.open_txns import Book
+from fieldspur.net.open_txns import OpenTxns
 from fieldspur.net.router_host import RouterHost
 from fieldspur.operators import BadFile, Operators, UnopenedFile, read
 from fieldspur.permissions import Gate, GiveUp, may_exit
@@ -55,7 +55,7 @@
         site, self.node, self.wishes = node.site, node, wishes
         share = wishes.memory
         self.relay = Relay(most_held=int(node.memory * share.answers))
-        self.book = Book()
+        self.book = OpenTxns()
         # Descriptors: half for clients, who hold a third at most, a quarter for servers, the rest in reserve. A
         # connection to a server takes up to 0.6 MB, as measured: together they get under a third of the memory.
         self.send = ConnectionPool(site, self.book, self.relay, min(node.sockets // 4, node.memory // LANE_MEMORY))
--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -7,7 +7,7 @@
 from fieldspur.net.client_writer import Outlet
 from fieldspur.net.frames import Request, Unusable
 from fieldspur.net.logs import ReasonCounter
-from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import Refusal, take_refusal
 from fieldspur.site import MS, Deployment
@@ -19,7 +19,7 @@
 
 
 class Admission:
-    def __init__(self, site: Deployment, book: Book, route, most_bytes: int):
+    def __init__(self, site: Deployment, book: OpenTxns, route, most_bytes: int):
         self.book, self.route, self.most_open, self.most_bytes = book, route, site.most_open, most_bytes
         self.come_back_ms = site.router["longest_come_back"] // MS
         self.refused = ReasonCounter(Refusal)  # requests turned away here
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -15,7 +15,7 @@
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, bytes_received, receive_poll
-from fieldspur.net.open_txns import Answer, Book
+from fieldspur.net.open_txns import Answer, OpenTxns
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.permissions import Accepting, ClientState, CloseReason, close_reason, may_cut
 from fieldspur.site import MS
@@ -216,7 +216,7 @@
         most_bytes: int,
         gone_after: int,
         admit: Admission,
-        book: Book,
+        book: OpenTxns,
         route,
         relay: Relay,
     ):
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -12,7 +12,7 @@
 from fieldspur.net.invariants import check_invariant
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
-from fieldspur.net.open_txns import Answer, Book
+from fieldspur.net.open_txns import Answer, OpenTxns
 from fieldspur.net.server_connection import ConnectionEnd, Hop, ServerConnection
 from fieldspur.permissions import AttemptRules, Refusal
 from fieldspur.site import MS, Deployment
@@ -25,7 +25,7 @@
 class ConnectionPool:
     """All connections to servers. Under the Router's lock things are only put into queues here."""
 
-    def __init__(self, site: Deployment, book: Book, relay: Relay, most_lanes: int):
+    def __init__(self, site: Deployment, book: OpenTxns, relay: Relay, most_lanes: int):
         self.site, self.book, self.relay, self.most_lanes = site, book, relay, most_lanes
         self.route = None  # set by it
         self.board, self.looked = None, 0  # the board, set by who has both; when a hop last looked at it
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -39,7 +39,7 @@
     hops: int = 0
 
 
-class Book:
+class OpenTxns:
     """Open txns and counts. Taking a txn out of `open` is what gives the right to answer it."""
 
     def __init__(self):
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -16,7 +16,7 @@
 from fieldspur.net.discovery import ListChange, Purge
 from fieldspur.net.invariants import check_invariant, contained_errors
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, latest_possible_time
-from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.server_connection import Hop
 from fieldspur.net.timer_wheel import NEVER, TimerWheel
 from fieldspur.permissions import Gate, GiveUp
@@ -39,7 +39,7 @@
 
 
 class RouterHost:
-    def __init__(self, site: Deployment, seed: int, book: Book, relay: Relay, send: ConnectionPool):
+    def __init__(self, site: Deployment, seed: int, book: OpenTxns, relay: Relay, send: ConnectionPool):
         self.site, self.book, self.relay, self.sender = site, book, relay, send
         send.route = self
         self.queue: deque = deque()  # bounded by most_queued and the open txns
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -18,7 +18,7 @@
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
-from fieldspur.net.open_txns import Book
+from fieldspur.net.open_txns import OpenTxns
 from fieldspur.net.server_connection import ServerConnection
 from fieldspur.site import deployment
 
@@ -645,7 +645,7 @@
     """Connections to `c0`, in that state, and to others by name, which are up."""
     relay = Relay(1 << 20)
     if book is None:
-        book = Book()
+        book = OpenTxns()
         book.open = Standing()
     send = ConnectionPool(deployment(settings()), book, relay, lanes)
     send.route = Events()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,7 +33,7 @@
 from fieldspur.net.client_writer import LEFT, UNREAD, Outlet, Relay
 from fieldspur.net.connection_pool import LOOK_CLIENT
 from fieldspur.net.nonblocking import receive_poll
-from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.server_connection import Hop, ServerConnection
 
 ACK = ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"bytes")
@@ -82,7 +82,7 @@
 def test_a_hop_of_a_txn_that_was_withdrawn_is_not_written_whoever_is_first():
     """The reader takes the txn out of the book; the Router learns of it later, and the hop may be at its connection by then."""
     cache, (here, there) = Cache(), pair()
-    send = sender(cache.address, book=Book())
+    send = sender(cache.address, book=OpenTxns())
     hop = taken(send, Outlet(here, encode, send.relay))
     send.book.withdraw(5)
     send.hop(hop).pump()
@@ -94,7 +94,7 @@
 def test_an_attempt_does_not_begin_for_a_client_whose_departure_lies_unread(leaves):
     """A txn that has waited, at the gate, behind a leader, for a dial or its turn to retry; its reader has not had the core since."""
     cache, (here, there) = Cache(), pair()
-    send = sender(cache.address, book=Book())
+    send = sender(cache.address, book=OpenTxns())
     hop = taken(send, Outlet(here, encode, send.relay), before_ms=50)
     if leaves == "resets":
         there.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -114,7 +114,7 @@
 def test_an_attempt_waits_until_what_lies_unread_of_its_client_has_had_its_turn():
     """A cancel that is there already: the reader takes it while the attempt waits, and the attempt is not begun."""
     cache, (here, there) = Cache(), pair()
-    send = sender(cache.address, book=Book())
+    send = sender(cache.address, book=OpenTxns())
     outlet = Outlet(here, encode, send.relay)
     hop = taken(send, outlet, before_ms=50)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
@@ -134,7 +134,7 @@
 def test_a_client_that_sends_on_and_on_gets_its_attempt_after_one_turn_of_its_reader_and_holds_up_nobody():
     """Found in the laboratory: a writer that waited for each such reader left all others' hops waiting behind it."""
     cache, (here, there) = Cache(), pair()
-    send = sender(cache.address, book=Book())
+    send = sender(cache.address, book=OpenTxns())
     outlet = Outlet(here, encode, send.relay)
     hop, other = taken(send, outlet, before_ms=50), taken(send, stays(send), ident=6, before_ms=50)
     there.sendall(b"more and more")
@@ -346,7 +346,7 @@
 
 def entered(most=8):
     """A place where clients are taken in, without the thread that accepts them: a test says when one is."""
-    book, relay = Book(), Relay(1 << 20)
+    book, relay = OpenTxns(), Relay(1 << 20)
     route = SimpleNamespace(gather=lambda: None, handle=lambda: None, post=lambda *about: None, withdrawn=None)
     admit = SimpleNamespace(taken=[], come_back_ms=0)
     admit.request = lambda request, outlet, now: outlet.open(request.stream, 7) and not admit.taken.append(request.stream)
@@ -444,7 +444,7 @@
 def test_an_attempt_does_not_begin_where_its_client_s_reader_was_first_to_withdraw(monkeypatch):
     """The end is seen by who writes, and the reader takes the txn out of the book before that one can."""
     cache = Cache()
-    send = sender(cache.address, book=Book())
+    send = sender(cache.address, book=OpenTxns())
     outlet = stays(send)
     hop = taken(send, outlet, before_ms=50)
     monkeypatch.setattr(outlet, "look", lambda hop: (send.book.withdraw(5, left=True), LEFT)[1])
@@ -616,7 +616,7 @@
 @pytest.mark.parametrize("in_time", [True, False])
 def test_a_repeat_that_waited_for_its_connection_goes_out_only_within_what_the_first_try_is_remembered_for(dial, in_time):
     cache = Cache()
-    send = sender(cache.address, book=Book())
+    send = sender(cache.address, book=OpenTxns())
     hop = keyed(send, clock() + (20_000 if in_time else 30) * MS)
     send.hop(hop).pump()
     while not in_time and clock() <= hop.go_by:
@@ -629,7 +629,7 @@
 def test_a_repeat_that_a_server_has_begun_to_read_is_broken_off_before_the_first_try_is_forgotten():
     """The server reads half of it, and the rest later: it must not have it whole by then."""
     cache = Stalled()
-    send = sender(cache.address, book=Book())
+    send = sender(cache.address, book=OpenTxns())
     lane = send.hop(keyed(send, clock() + 20_000 * MS))
     lane.pump()
     until(lambda: send.route.posted)
@@ -651,7 +651,7 @@
 def test_no_hop_is_written_to_a_server_that_has_ended_the_connection_while_it_was_idle(monkeypatch, how):
     """The end lies in the socket and the connection's reader has not had the core: the hop never ran, so it may go elsewhere."""
     held, cache = readers_held(monkeypatch), Cache(lambda want: None)
-    send = sender(cache.address, book=Book())
+    send = sender(cache.address, book=OpenTxns())
     hop = taken(send, stays(send))
     first = ServerConnection(send, "c0", send.servers["c0"].address)
     send.lanes["c0"] = [first]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -25,7 +25,7 @@
 from fieldspur.net.client_writer import Relay
 from fieldspur.net.discovery import DiscoveryClient, ListChange
 from fieldspur.net.nonblocking import receive_poll
-from fieldspur.net.open_txns import Answer, Book
+from fieldspur.net.open_txns import Answer, OpenTxns
 from fieldspur.record import replace
 
 
@@ -165,7 +165,7 @@
     assert outlet.hops == [attempt] and not attempt.written
     outlet.worked_off += len(outlet.sock.recv(100))
     send.book.open.pop(6)
-    send.book.open = Book().open  # no request stands in for one that was withdrawn
+    send.book.open = OpenTxns().open  # no request stands in for one that was withdrawn
     outlet.read_off()
     assert not attempt.written and not cache.wants and lane.ready
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -25,7 +25,7 @@
 from fieldspur.net.client_writer import Outlet, Relay
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, ListedServer
-from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.net.router_host import RouterHost
 from fieldspur.net.server_connection import Hop
@@ -277,7 +277,7 @@
 
 def plain_route():
     site = deployment(settings())
-    return RouterHost(site, 1, Book(), Relay(1 << 20), ConnectionPool(site, Book(), Relay(1 << 20), 4))
+    return RouterHost(site, 1, OpenTxns(), Relay(1 << 20), ConnectionPool(site, OpenTxns(), Relay(1 << 20), 4))
 
 
 def test_events_of_many_threads_are_handled_once_each_by_one_caller_at_a_time():
@@ -333,7 +333,7 @@
     """5,000 txns a seed: an answer, an error, a cut, a withdrawal, a broken connection and the Router's own end fall on each
     other in a generated order, from several threads."""
     chance, site = random.Random(seed), deployment(settings())
-    book, relay = Book(), Relay(1 << 20)
+    book, relay = OpenTxns(), Relay(1 << 20)
     send = ConnectionPool(site, book, relay, 4)
     route = RouterHost(site, 1, book, relay, send)
     answered = {}
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,7 +21,7 @@
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, ListedServer
 from fieldspur.net.frames import Request
-from fieldspur.net.open_txns import Answer, Book, Txn
+from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.router_host import RouterHost
 from fieldspur.net.server_connection import Hop
 from fieldspur.record import replace
@@ -565,7 +565,7 @@
 
 
 def test_a_lag_is_forgotten_with_time_whatever_the_traffic():
-    route = RouterHost(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
+    route = RouterHost(deployment(settings()), 1, OpenTxns(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.waited(800 * MS)
     route.clock += 2000 * MS
     route.waited(0)
@@ -595,7 +595,7 @@
 
 def test_an_answer_is_owed_until_it_is_with_its_connection():
     """Found at a restart: the book was empty, and the program ended before its last answer was written."""
-    relay, book, seen = Relay(1 << 20), Book(), []
+    relay, book, seen = Relay(1 << 20), OpenTxns(), []
     send = ConnectionPool(deployment(settings()), book, relay, 4)
     send.route = Events()
     outlet = SimpleNamespace(answer=lambda *about: seen.append((relay.done(), dict(book.open))))
@@ -606,7 +606,7 @@
 
 
 def test_a_withdrawn_txn_is_not_answered_and_the_book_gives_each_away_once():
-    book = Book()
+    book = OpenTxns()
     txn = Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"body", 0, 0, None, 1)
     book.take(txn)
     assert book.bytes == 4
@@ -632,7 +632,7 @@
 def test_bodies_that_no_memory_is_left_for_are_refused_at_once():
     here, there = socket.socketpair()
     site, outlet = deployment(settings()), Outlet(here, encode, Relay(1 << 20))
-    admit = Admission(site, Book(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
+    admit = Admission(site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
     for stream in (1, 2):
         admit.request(Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), outlet, clock())
     assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(outlet.streams) == [1]
@@ -640,7 +640,7 @@
 
 def test_a_router_that_runs_behind_takes_that_off_the_time_limit_and_then_refuses():
     here, there = socket.socketpair()
-    route = RouterHost(deployment(settings()), 1, Book(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
+    route = RouterHost(deployment(settings()), 1, OpenTxns(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
     admit, outlet = Admission(route.site, route.book, route, 1000), Outlet(here, encode, route.relay)
@@ -710,7 +710,7 @@
 def test_a_connection_that_was_idle_is_not_closed_over_a_request_that_lies_unread():
     """Found by the laboratory's herd: a router stopped for 6 s closed connections as idle before their readers had a turn; what a
     client had sent meanwhile was never answered."""
-    book, relay = Book(), Relay(1 << 20)
+    book, relay = OpenTxns(), Relay(1 << 20)
     takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, book, None, relay)
     here, there = socket.socketpair()
     client = ClientConnection(takein, here)
