--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -149,7 +149,7 @@
             extra={
                 "kv": {
                     **self.book.counts,
-                    "open": len(self.book.open),
+                    "open": len(self.book.by_id),
                     "clients": len(self.takein.clients),
                     "lanes": self.send.count(),
                     "threads": threading.active_count(),
@@ -217,9 +217,9 @@
         self.takein.admit.ends_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
         while (took := time.monotonic() - began) < self.longest + STILL_COMING:
             late = took > STILL_COMING + left
-            if late and self.book.open:
+            if late and self.book.by_id:
                 self.route.post(self.route.time_is_up)
-            if may_exit(self.takein.shut(late), len(self.book.open), not self.relay.done()):
+            if may_exit(self.takein.shut(late), len(self.book.by_id), not self.relay.done()):
                 break
             time.sleep(0.01)
         parting_ends = min(time.monotonic() + PARTING, killed_at - LAST_MOMENT)
@@ -266,7 +266,7 @@
             service.reload()
         except Exception:
             contained_errors.record("reload")
-    log.info("ending", extra={"kv": {"open": len(service.book.open)}})
+    log.info("ending", extra={"kv": {"open": len(service.book.by_id)}})
     service.end()
     service.counts("ended")
     logging.shutdown()
--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -69,7 +69,7 @@
             request.stream,
         )
         refusal = take_refusal(
-            len(self.book.open),
+            len(self.book.by_id),
             self.most_open,
             len(self.route.queue),
             self.route.most_queued,
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -180,7 +180,7 @@
     def fail_over(self, stream: int) -> None:
         """An error came over what the client sent on that stream: a request there that is in no list of open ones is answered here."""
         ident = self.outlet.streams.get(stream)
-        if ident is not None and ident not in self.takein.book.open:
+        if ident is not None and ident not in self.takein.book.by_id:
             self.outlet.answer(stream, Answer("aborted"))
         self.fail("internal error")
 
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -140,7 +140,7 @@
             self.take_back(hop, Refusal.CONNECTION_ENDED)
             return False
         if hop.want is not None:
-            txn = self.book.open.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
+            txn = self.book.by_id.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
             if txn is not None and now - txn.taken > LOOK_CLIENT:
                 if (found := txn.outlet.look(hop)) is UNREAD:
                     return False
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -43,7 +43,7 @@
     """Open txns and counts. Taking a txn out of `open` is what gives the right to answer it."""
 
     def __init__(self):
-        self.open: dict[int, Txn] = {}
+        self.by_id: dict[int, Txn] = {}
         self.idents = itertools.count(1)
         self.lock = threading.Lock()
         self.names: set[str] = set()  # clients' ids of txns; each is to be new
@@ -57,9 +57,9 @@
             self.bytes += size
 
     def take(self, txn: Txn) -> None:
-        if txn.ident in self.open:
+        if txn.ident in self.by_id:
             check_invariant(False, "a new number for each txn", txn=txn.ident)
-        self.open[txn.ident] = txn
+        self.by_id[txn.ident] = txn
         with self.lock:
             self.names.add(txn.name)
             if len(self.names) > MOST_NAMES:
@@ -73,7 +73,7 @@
 
     def settle(self, ident: int, answer: Answer) -> Txn | None:
         """The txn, for whoever is to give it its one final answer; None where it has had its end already."""
-        txn = self.open.pop(ident, None)
+        txn = self.by_id.pop(ident, None)
         if txn is None:
             self.count("late")
         else:
@@ -82,7 +82,7 @@
 
     def withdraw(self, ident: int, left: bool = False) -> bool:
         """The client waits no more, and no answer is owed. With `left` its connection ended: it may come again."""
-        txn = self.open.pop(ident, None)
+        txn = self.by_id.pop(ident, None)
         if txn is not None:
             self.count("withdrawn", -len(txn.body))
             if left:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -172,7 +172,7 @@
         contained_errors.record("event", txn=ident)
         self.watched_until = self.clock + LONGEST_WATCH
         self.at(self.clock + WATCH_OVERDUE, (OVERDUE, 0))
-        if ident in self.book.open:
+        if ident in self.book.by_id:
             self.abandon(ident)
 
     def abandon(self, ident: int) -> None:
@@ -182,7 +182,7 @@
             self.drop_unknown_attempt(ident)
         except Exception:
             contained_errors.record("event", txn=ident)
-        if ident in self.book.open:
+        if ident in self.book.by_id:
             self.abort(ident)
 
     def drop_unknown_attempt(self, ident: int) -> None:
@@ -194,7 +194,7 @@
 
     def answer_overdue(self) -> None:
         """For a while after an unforeseen error: requests whose time is over, and of which nothing may be left that would end them."""
-        for ident, txn in list(self.book.open.items()):
+        for ident, txn in list(self.book.by_id.items()):
             if self.clock > txn.limit_at + WATCH_OVERDUE:
                 self.held.pop(ident, None)
                 self.abandon(ident)
@@ -236,7 +236,7 @@
                 self.ring()
 
     def arrived(self, txn: Txn) -> None:
-        if txn.ident not in self.book.open:
+        if txn.ident not in self.book.by_id:
             return  # withdrawn while it waited here
         if self.gate is not None:
             return self.hold(txn)
@@ -273,7 +273,7 @@
 
     def time_is_up(self) -> None:
         """The program is killed soon, and a txn that is open by then would get no answer at all."""
-        for ident in list(self.book.open):
+        for ident in list(self.book.by_id):
             if ident in self.held:
                 self.turn_away(ident)
             else:
@@ -290,7 +290,7 @@
             self.wheel.cancel(hop.cut_at, (hop.ident, hop.number))
         if hop.want is None:
             return self.router.probe_ended(hop.server, result, took, load)
-        final = result == "completed" or hop.ident not in self.book.open
+        final = result == "completed" or hop.ident not in self.book.by_id
         if log.isEnabledFor(logging.DEBUG):
             self.tell(hop, result, took, reply)
         self.router.hop_ended(
@@ -396,7 +396,7 @@
         return self.clock
 
     def hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:
-        txn = self.book.open.get(ident)
+        txn = self.book.by_id.get(ident)
         if txn is None:  # withdrawn a moment ago
             hop = Hop(ident, self.router.txns[ident].hops[-1].number, "", server, source, None, self.clock)
             return self.post(self.unsent, hop)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -646,7 +646,7 @@
     relay = Relay(1 << 20)
     if book is None:
         book = OpenTxns()
-        book.open = Standing()
+        book.by_id = Standing()
     send = ConnectionPool(deployment(settings()), book, relay, lanes)
     send.route = Events()
     for name, where in {"c0": address, **others}.items():
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -107,7 +107,7 @@
     lane = send.hop(hop)
     lane.pump()
     until(lambda: any(about[:2] == (hop, "unsent") for about in send.route.posted))
-    assert not hop.written and not cache.wants and 5 not in send.book.open
+    assert not hop.written and not cache.wants and 5 not in send.book.by_id
     here.close(), there.close()
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -413,17 +413,17 @@
         sys.setswitchinterval(before)
     route.work(0)
     for _ in range(20):  # whatever is still open has its hops ended, tries of their own included
-        for ident in list(book.open):
+        for ident in list(book.by_id):
             if hops.get(ident):
                 send.ended(hops[ident][-1], "unreachable")
         route.work(0)
-    for ident in list(book.open):  # followers whose leader had gone
+    for ident in list(book.by_id):  # followers whose leader had gone
         route.post(route.cut, ident, hops[ident][-1].number if hops.get(ident) else 0)
     route.work(0)
     double = [ident for ident, words in answered.items() if len(words) != 1]
     both = [ident for ident in answered if ident in withdrawn]
     none = [ident for ident in range(1, count_of + 1) if ident not in answered and ident not in withdrawn]
-    assert not double and not both and not none and not book.open and relay.done() and not holding.broken
+    assert not double and not both and not none and not book.by_id and relay.done() and not holding.broken
 
 
 def test_an_error_in_the_router_costs_its_event_alone_whatever_its_kind_and_thread(monkeypatch):
@@ -449,7 +449,7 @@
     outlet.open(1, 1)
     at = clock()
     route.book.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, outlet, 1))
-    route.post(route.arrived, route.book.open[1])  # no server is listed
+    route.post(route.arrived, route.book.by_id[1])  # no server is listed
     there.setblocking(False)
     assert there.recv(100)[9] == frames.REFUSED and route.relay.done()
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -598,7 +598,7 @@
     relay, book, seen = Relay(1 << 20), OpenTxns(), []
     send = ConnectionPool(deployment(settings()), book, relay, 4)
     send.route = Events()
-    outlet = SimpleNamespace(answer=lambda *about: seen.append((relay.done(), dict(book.open))))
+    outlet = SimpleNamespace(answer=lambda *about: seen.append((relay.done(), dict(book.by_id))))
     book.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, outlet, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
     send.answered(hop, resp.reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
@@ -647,11 +647,11 @@
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
     route.lock.acquire()  # another thread is at it, and does not get on
     admit.request(request, outlet, 0)
-    assert 0.6e9 < route.book.open[1].limit_at <= 0.675e9
+    assert 0.6e9 < route.book.by_id[1].limit_at <= 0.675e9
     for _ in range(1000):
         route.post(lambda: None)
     admit.request(replace(request, stream=2, txn="2" * 16), outlet, 0)
-    assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(route.book.open) == [1]
+    assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(route.book.by_id) == [1]
 
 
 def test_a_cut_at_the_time_limit_does_not_wait_behind_other_events():
@@ -666,7 +666,7 @@
     outlet.streams[1] = 1
     now = clock()
     route.book.take(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, outlet, 1))
-    route.post(route.arrived, route.book.open[1])
+    route.post(route.arrived, route.book.by_id[1])
     (hop,) = route.hops.values()
     left = []
 
@@ -677,7 +677,7 @@
 
     route.queue.append((always, (), clock()))
     route.work(0)
-    assert hop.ended and not route.book.open and left[-2] == 1 and clock() >= now + 100 * MS
+    assert hop.ended and not route.book.by_id and left[-2] == 1 and clock() >= now + 100 * MS
     assert there.recv(100)[9] == 66
 
 
