--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -55,11 +55,11 @@
         site, self.node, self.wishes = node.site, node, wishes
         share = wishes.memory
         self.relay = Relay(most_held=int(node.memory * share.answers))
-        self.book = OpenTxns()
+        self.open_txns = OpenTxns()
         # Descriptors: half for clients, who hold a third at most, a quarter for servers, the rest in reserve. A
         # connection to a server takes up to 0.6 MB, as measured: together they get under a third of the memory.
-        self.send = ConnectionPool(site, self.book, self.relay, min(node.sockets // 4, node.memory // LANE_MEMORY))
-        self.route = RouterHost(site, node.seed, self.book, self.relay, self.send)
+        self.send = ConnectionPool(site, self.open_txns, self.relay, min(node.sockets // 4, node.memory // LANE_MEMORY))
+        self.route = RouterHost(site, node.seed, self.open_txns, self.relay, self.send)
         overlay = None
         if wishes.fleet.name:  # off by default; only then is any of it imported
             if node.name not in wishes.fleet.members:
@@ -74,8 +74,8 @@
             node.sockets // 2,
             int(node.memory * share.frames),
             site.idle_close,
-            Admission(site, self.book, self.route, int(node.memory * share.bodies)),
-            self.book,
+            Admission(site, self.open_txns, self.route, int(node.memory * share.bodies)),
+            self.open_txns,
             self.route,
             self.relay,
         )
@@ -148,8 +148,8 @@
             event,
             extra={
                 "kv": {
-                    **self.book.counts,
-                    "open": len(self.book.by_id),
+                    **self.open_txns.counts,
+                    "open": len(self.open_txns.by_id),
                     "clients": len(self.takein.clients),
                     "lanes": self.send.count(),
                     "threads": threading.active_count(),
@@ -217,9 +217,9 @@
         self.takein.admit.ends_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
         while (took := time.monotonic() - began) < self.longest + STILL_COMING:
             late = took > STILL_COMING + left
-            if late and self.book.by_id:
+            if late and self.open_txns.by_id:
                 self.route.post(self.route.time_is_up)
-            if may_exit(self.takein.shut(late), len(self.book.by_id), not self.relay.done()):
+            if may_exit(self.takein.shut(late), len(self.open_txns.by_id), not self.relay.done()):
                 break
             time.sleep(0.01)
         parting_ends = min(time.monotonic() + PARTING, killed_at - LAST_MOMENT)
@@ -266,7 +266,7 @@
             service.reload()
         except Exception:
             contained_errors.record("reload")
-    log.info("ending", extra={"kv": {"open": len(service.book.by_id)}})
+    log.info("ending", extra={"kv": {"open": len(service.open_txns.by_id)}})
     service.end()
     service.counts("ended")
     logging.shutdown()
--- a/fieldspur/bench/count.py
+++ b/fieldspur/bench/count.py
@@ -169,9 +169,9 @@
             before = tracemalloc.get_traced_memory()[0]
             for stream in (1, 2):
                 self.ask(sock, stream)
-                done = self.service.book.counts["completed"]
+                done = self.service.open_txns.counts["completed"]
                 end = time.monotonic() + 5
-                while self.service.book.counts["completed"] == done and time.monotonic() < end:
+                while self.service.open_txns.counts["completed"] == done and time.monotonic() < end:
                     time.sleep(0.001)
                 self.settle()
             return (tracemalloc.get_traced_memory()[1] - before) / (2 * SIZES[self.rule])
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -150,7 +150,7 @@
             load = fleet.rate(server, now)
             fills = load * SECOND / max(1.0, self.route.router.mean_work)
             loads[server.name] = [digits(fits), digits(load), digits(fills), how]
-        counts, (turned, every, at) = self.route.book.counts, self.txns
+        counts, (turned, every, at) = self.route.open_txns.counts, self.txns
         self.txns = (counts["rejected"] + counts["aborted"], sum(counts[word] for word in ("completed", "rejected", "aborted")), now)
         keeps = math.exp((at - now) / TURNED_SPAN)
         self.faded = tuple(old * keeps + new - was for old, new, was in zip(self.faded, self.txns, (turned, every)))
--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -19,8 +19,8 @@
 
 
 class Admission:
-    def __init__(self, site: Deployment, book: OpenTxns, route, most_bytes: int):
-        self.book, self.route, self.most_open, self.most_bytes = book, route, site.most_open, most_bytes
+    def __init__(self, site: Deployment, open_txns: OpenTxns, route, most_bytes: int):
+        self.open_txns, self.route, self.most_open, self.most_bytes = open_txns, route, site.most_open, most_bytes
         self.come_back_ms = site.router["longest_come_back"] // MS
         self.refused = ReasonCounter(Refusal)  # requests turned away here
         self.ends_at = NEVER  # every txn has its answer by then: an ending program is killed soon after
@@ -37,16 +37,16 @@
                 else "unique: missing"
                 if keyed and not request.key
                 else "txn: used before"
-                if self.book.known(request.txn)
+                if self.open_txns.known(request.txn)
                 else ""
             )
         else:
             at, why = -1, request.why
-        ident = next(self.book.idents)
+        ident = next(self.open_txns.idents)
         if not outlet.open(request.stream, ident):
             return False
         if why:
-            self.book.count("unusable")
+            self.open_txns.count("unusable")
             log.warning("unusable", extra={"kv": {"why": why}})
             outlet.answer(request.stream, Answer("aborted"))
             return False
@@ -69,18 +69,18 @@
             request.stream,
         )
         refusal = take_refusal(
-            len(self.book.by_id),
+            len(self.open_txns.by_id),
             self.most_open,
             len(self.route.queue),
             self.route.most_queued,
-            self.book.bytes + len(txn.body),
+            self.open_txns.bytes + len(txn.body),
             self.most_bytes,
         )
         if refusal is not None:
-            self.book.count("full")
+            self.open_txns.count("full")
             self.refused.add(refusal)
             outlet.answer(request.stream, Answer("rejected", self.come_back_ms))
             return True
-        self.book.take(txn)
+        self.open_txns.take(txn)
         self.route.post(self.route.arrived, txn)
         return True
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -180,7 +180,7 @@
     def fail_over(self, stream: int) -> None:
         """An error came over what the client sent on that stream: a request there that is in no list of open ones is answered here."""
         ident = self.outlet.streams.get(stream)
-        if ident is not None and ident not in self.takein.book.by_id:
+        if ident is not None and ident not in self.takein.open_txns.by_id:
             self.outlet.answer(stream, Answer("aborted"))
         self.fail("internal error")
 
@@ -216,11 +216,11 @@
         most_bytes: int,
         gone_after: int,
         admit: Admission,
-        book: OpenTxns,
+        open_txns: OpenTxns,
         route,
         relay: Relay,
     ):
-        self.admit, self.book, self.route, self.relay = admit, book, route, relay
+        self.admit, self.open_txns, self.route, self.relay = admit, open_txns, route, relay
         self.most_clients, self.gone_after_ms = most_clients, gone_after // MS
         self.most_bytes, self.bytes = most_bytes, 0  # of unfinished frames
         self.ready = self.over = False  # over: the program's end has begun
@@ -338,7 +338,7 @@
                 most.outlet.cut_off()
 
     def withdraw(self, ident: int, left: bool = False) -> None:
-        if self.book.withdraw(ident, left):
+        if self.open_txns.withdraw(ident, left):
             self.route.post(self.route.withdrawn, ident)
 
     def freed(self, client: ClientConnection) -> None:
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -25,8 +25,8 @@
 class ConnectionPool:
     """All connections to servers. Under the Router's lock things are only put into queues here."""
 
-    def __init__(self, site: Deployment, book: OpenTxns, relay: Relay, most_lanes: int):
-        self.site, self.book, self.relay, self.most_lanes = site, book, relay, most_lanes
+    def __init__(self, site: Deployment, open_txns: OpenTxns, relay: Relay, most_lanes: int):
+        self.site, self.open_txns, self.relay, self.most_lanes = site, open_txns, relay, most_lanes
         self.route = None  # set by it
         self.board, self.looked = None, 0  # the board, set by who has both; when a hop last looked at it
         self.rules = AttemptRules(site.connect_timeout)
@@ -140,12 +140,12 @@
             self.take_back(hop, Refusal.CONNECTION_ENDED)
             return False
         if hop.want is not None:
-            txn = self.book.by_id.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
+            txn = self.open_txns.by_id.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
             if txn is not None and now - txn.taken > LOOK_CLIENT:
                 if (found := txn.outlet.look(hop)) is UNREAD:
                     return False
                 if found is LEFT:
-                    if self.book.withdraw(txn.ident, left=True):  # else its reader did so just now
+                    if self.open_txns.withdraw(txn.ident, left=True):  # else its reader did so just now
                         self.route.post(self.route.withdrawn, txn.ident)
                     txn = None
             if txn is None:
@@ -215,7 +215,7 @@
             answer = Answer("completed", 0, unchanged, reply.body)
             owed = hop.ident, hop.number
             self.relay.owing.add(owed)
-            txn = self.book.settle(hop.ident, answer)
+            txn = self.open_txns.settle(hop.ident, answer)
             if txn is not None:
                 self.relay.answer(txn, answer, cork)
             self.relay.owing.discard(owed)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -39,8 +39,8 @@
 
 
 class RouterHost:
-    def __init__(self, site: Deployment, seed: int, book: OpenTxns, relay: Relay, send: ConnectionPool):
-        self.site, self.book, self.relay, self.sender = site, book, relay, send
+    def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, relay: Relay, send: ConnectionPool):
+        self.site, self.open_txns, self.relay, self.sender = site, open_txns, relay, send
         send.route = self
         self.queue: deque = deque()  # bounded by most_queued and the open txns
         self.most_queued = MOST_QUEUED
@@ -172,7 +172,7 @@
         contained_errors.record("event", txn=ident)
         self.watched_until = self.clock + LONGEST_WATCH
         self.at(self.clock + WATCH_OVERDUE, (OVERDUE, 0))
-        if ident in self.book.by_id:
+        if ident in self.open_txns.by_id:
             self.abandon(ident)
 
     def abandon(self, ident: int) -> None:
@@ -182,7 +182,7 @@
             self.drop_unknown_attempt(ident)
         except Exception:
             contained_errors.record("event", txn=ident)
-        if ident in self.book.by_id:
+        if ident in self.open_txns.by_id:
             self.abort(ident)
 
     def drop_unknown_attempt(self, ident: int) -> None:
@@ -194,7 +194,7 @@
 
     def answer_overdue(self) -> None:
         """For a while after an unforeseen error: requests whose time is over, and of which nothing may be left that would end them."""
-        for ident, txn in list(self.book.by_id.items()):
+        for ident, txn in list(self.open_txns.by_id.items()):
             if self.clock > txn.limit_at + WATCH_OVERDUE:
                 self.held.pop(ident, None)
                 self.abandon(ident)
@@ -236,7 +236,7 @@
                 self.ring()
 
     def arrived(self, txn: Txn) -> None:
-        if txn.ident not in self.book.by_id:
+        if txn.ident not in self.open_txns.by_id:
             return  # withdrawn while it waited here
         if self.gate is not None:
             return self.hold(txn)
@@ -251,7 +251,7 @@
 
     def turn_away(self, ident: int) -> None:
         if self.held.pop(ident, None) is not None:
-            self.book.count("held_back")
+            self.open_txns.count("held_back")
             self.reject(ident, self.site.router["longest_come_back"])
 
     def shut(self, gate, why: str) -> None:
@@ -273,7 +273,7 @@
 
     def time_is_up(self) -> None:
         """The program is killed soon, and a txn that is open by then would get no answer at all."""
-        for ident in list(self.book.by_id):
+        for ident in list(self.open_txns.by_id):
             if ident in self.held:
                 self.turn_away(ident)
             else:
@@ -290,7 +290,7 @@
             self.wheel.cancel(hop.cut_at, (hop.ident, hop.number))
         if hop.want is None:
             return self.router.probe_ended(hop.server, result, took, load)
-        final = result == "completed" or hop.ident not in self.book.by_id
+        final = result == "completed" or hop.ident not in self.open_txns.by_id
         if log.isEnabledFor(logging.DEBUG):
             self.tell(hop, result, took, reply)
         self.router.hop_ended(
@@ -396,7 +396,7 @@
         return self.clock
 
     def hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:
-        txn = self.book.by_id.get(ident)
+        txn = self.open_txns.by_id.get(ident)
         if txn is None:  # withdrawn a moment ago
             hop = Hop(ident, self.router.txns[ident].hops[-1].number, "", server, source, None, self.clock)
             return self.post(self.unsent, hop)
@@ -465,7 +465,7 @@
 
     def answer(self, ident: int, answer: Answer) -> None:
         self.relay.owing.add((ident, BY_ROUTER))
-        txn = self.book.settle(ident, answer)
+        txn = self.open_txns.settle(ident, answer)
         if txn is not None:
             if log.isEnabledFor(logging.DEBUG):
                 log.debug(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -641,13 +641,13 @@
     return held
 
 
-def sender(address, state="up", lanes=4, book=None, **others):
+def sender(address, state="up", lanes=4, open_txns=None, **others):
     """Connections to `c0`, in that state, and to others by name, which are up."""
     relay = Relay(1 << 20)
-    if book is None:
-        book = OpenTxns()
-        book.by_id = Standing()
-    send = ConnectionPool(deployment(settings()), book, relay, lanes)
+    if open_txns is None:
+        open_txns = OpenTxns()
+        open_txns.by_id = Standing()
+    send = ConnectionPool(deployment(settings()), open_txns, relay, lanes)
     send.route = Events()
     for name, where in {"c0": address, **others}.items():
         host, port = where.split(":")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -52,7 +52,7 @@
     txn = Txn(
         ident, f"{ident:016x}", 0, rule, "a" * 16, 0, 1, 1.0, None, None, b"", now - before_ms * MS, now + 3000 * MS, outlet, stream, 1
     )
-    send.book.take(txn)
+    send.open_txns.take(txn)
     assert outlet.open(stream, ident)
     want = resp.Want(txn.name, rule, txn.obj, 0, 3000, None, None, 0, 0, False, False, True, None, b"")
     return Hop(ident, 0, txn.name, "c0", None, want, now)
@@ -82,9 +82,9 @@
 def test_a_hop_of_a_txn_that_was_withdrawn_is_not_written_whoever_is_first():
     """The reader takes the txn out of the book; the Router learns of it later, and the hop may be at its connection by then."""
     cache, (here, there) = Cache(), pair()
-    send = sender(cache.address, book=OpenTxns())
+    send = sender(cache.address, open_txns=OpenTxns())
     hop = taken(send, Outlet(here, encode, send.relay))
-    send.book.withdraw(5)
+    send.open_txns.withdraw(5)
     send.hop(hop).pump()
     assert [about[:2] for about in until(lambda: send.route.posted)] == [(hop, "unsent")] and not hop.written and not cache.wants
     here.close(), there.close()
@@ -94,7 +94,7 @@
 def test_an_attempt_does_not_begin_for_a_client_whose_departure_lies_unread(leaves):
     """A txn that has waited, at the gate, behind a leader, for a dial or its turn to retry; its reader has not had the core since."""
     cache, (here, there) = Cache(), pair()
-    send = sender(cache.address, book=OpenTxns())
+    send = sender(cache.address, open_txns=OpenTxns())
     hop = taken(send, Outlet(here, encode, send.relay), before_ms=50)
     if leaves == "resets":
         there.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -107,14 +107,14 @@
     lane = send.hop(hop)
     lane.pump()
     until(lambda: any(about[:2] == (hop, "unsent") for about in send.route.posted))
-    assert not hop.written and not cache.wants and 5 not in send.book.by_id
+    assert not hop.written and not cache.wants and 5 not in send.open_txns.by_id
     here.close(), there.close()
 
 
 def test_an_attempt_waits_until_what_lies_unread_of_its_client_has_had_its_turn():
     """A cancel that is there already: the reader takes it while the attempt waits, and the attempt is not begun."""
     cache, (here, there) = Cache(), pair()
-    send = sender(cache.address, book=OpenTxns())
+    send = sender(cache.address, open_txns=OpenTxns())
     outlet = Outlet(here, encode, send.relay)
     hop = taken(send, outlet, before_ms=50)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
@@ -125,7 +125,7 @@
     outlet.read_off()
     assert outlet.hops == [hop]  # its reader has worked off something, but not read on
     outlet.worked_off += len(here.recv(100))  # its reader has its turn
-    send.book.withdraw(5)
+    send.open_txns.withdraw(5)
     outlet.read_off()
     assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not cache.wants and not outlet.hops
     here.close(), there.close()
@@ -134,7 +134,7 @@
 def test_a_client_that_sends_on_and_on_gets_its_attempt_after_one_turn_of_its_reader_and_holds_up_nobody():
     """Found in the laboratory: a writer that waited for each such reader left all others' hops waiting behind it."""
     cache, (here, there) = Cache(), pair()
-    send = sender(cache.address, book=OpenTxns())
+    send = sender(cache.address, open_txns=OpenTxns())
     outlet = Outlet(here, encode, send.relay)
     hop, other = taken(send, outlet, before_ms=50), taken(send, stays(send), ident=6, before_ms=50)
     there.sendall(b"more and more")
@@ -346,11 +346,11 @@
 
 def entered(most=8):
     """A place where clients are taken in, without the thread that accepts them: a test says when one is."""
-    book, relay = OpenTxns(), Relay(1 << 20)
+    open_txns, relay = OpenTxns(), Relay(1 << 20)
     route = SimpleNamespace(gather=lambda: None, handle=lambda: None, post=lambda *about: None, withdrawn=None)
     admit = SimpleNamespace(taken=[], come_back_ms=0)
     admit.request = lambda request, outlet, now: outlet.open(request.stream, 7) and not admit.taken.append(request.stream)
-    return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, book, route, relay)
+    return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, open_txns, route, relay)
 
 
 def joins(takein, accept=True):
@@ -444,10 +444,10 @@
 def test_an_attempt_does_not_begin_where_its_client_s_reader_was_first_to_withdraw(monkeypatch):
     """The end is seen by who writes, and the reader takes the txn out of the book before that one can."""
     cache = Cache()
-    send = sender(cache.address, book=OpenTxns())
+    send = sender(cache.address, open_txns=OpenTxns())
     outlet = stays(send)
     hop = taken(send, outlet, before_ms=50)
-    monkeypatch.setattr(outlet, "look", lambda hop: (send.book.withdraw(5, left=True), LEFT)[1])
+    monkeypatch.setattr(outlet, "look", lambda hop: (send.open_txns.withdraw(5, left=True), LEFT)[1])
     lane = send.hop(hop)
     until(lambda: lane.ready)
     lane.pump()
@@ -616,7 +616,7 @@
 @pytest.mark.parametrize("in_time", [True, False])
 def test_a_repeat_that_waited_for_its_connection_goes_out_only_within_what_the_first_try_is_remembered_for(dial, in_time):
     cache = Cache()
-    send = sender(cache.address, book=OpenTxns())
+    send = sender(cache.address, open_txns=OpenTxns())
     hop = keyed(send, clock() + (20_000 if in_time else 30) * MS)
     send.hop(hop).pump()
     while not in_time and clock() <= hop.go_by:
@@ -629,7 +629,7 @@
 def test_a_repeat_that_a_server_has_begun_to_read_is_broken_off_before_the_first_try_is_forgotten():
     """The server reads half of it, and the rest later: it must not have it whole by then."""
     cache = Stalled()
-    send = sender(cache.address, book=OpenTxns())
+    send = sender(cache.address, open_txns=OpenTxns())
     lane = send.hop(keyed(send, clock() + 20_000 * MS))
     lane.pump()
     until(lambda: send.route.posted)
@@ -651,7 +651,7 @@
 def test_no_hop_is_written_to_a_server_that_has_ended_the_connection_while_it_was_idle(monkeypatch, how):
     """The end lies in the socket and the connection's reader has not had the core: the hop never ran, so it may go elsewhere."""
     held, cache = readers_held(monkeypatch), Cache(lambda want: None)
-    send = sender(cache.address, book=OpenTxns())
+    send = sender(cache.address, open_txns=OpenTxns())
     hop = taken(send, stays(send))
     first = ServerConnection(send, "c0", send.servers["c0"].address)
     send.lanes["c0"] = [first]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -94,7 +94,7 @@
     send.hop(taken_with_limit(send, 3000)).pump()  # its connection comes up late
     until(lambda: cache.wants)
     other = taken_with_limit(send, 3000, ident=6, before_ms=50)
-    outlet = send.book.by_id[6].outlet
+    outlet = send.open_txns.by_id[6].outlet
     outlet.there.sendall(b"half a frame")
     until(lambda: receive_poll(outlet.sock).poll(0))
     send.hop(other).pump()  # it waits for its client's reader
@@ -151,7 +151,7 @@
     cache = Cache(lambda want: None)
     send = sender(cache.address)
     attempt = taken_with_limit(send, 3000, ident=6, before_ms=50)
-    outlet = send.book.by_id[6].outlet
+    outlet = send.open_txns.by_id[6].outlet
     outlet.there.sendall(b"request")
     until(lambda: receive_poll(outlet.sock).poll(0))
     lane = send.hop(attempt)
@@ -164,8 +164,8 @@
     outlet.read_off()
     assert outlet.hops == [attempt] and not attempt.written
     outlet.worked_off += len(outlet.sock.recv(100))
-    send.book.by_id.pop(6)
-    send.book.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
+    send.open_txns.by_id.pop(6)
+    send.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
     outlet.read_off()
     assert not attempt.written and not cache.wants and lane.ready
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -248,7 +248,7 @@
     for n in range(6):
         name = f"{n + 1:016x}"
         outlets[n % 2].open(n + 1, n + 1)
-        send.book.take(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, outlets[n % 2], n + 1))
+        send.open_txns.take(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, outlets[n % 2], n + 1))
         go(send, Hop(n + 1, 0, name, "c0", None, want(name), at))
         data += resp.array(name.encode(), b"ACK", b"entity=e,issued=1", b"body-%d" % n)
     seen, put = [], Outlet.uncork
@@ -333,9 +333,9 @@
     """5,000 txns a seed: an answer, an error, a cut, a withdrawal, a broken connection and the Router's own end fall on each
     other in a generated order, from several threads."""
     chance, site = random.Random(seed), deployment(settings())
-    book, relay = OpenTxns(), Relay(1 << 20)
-    send = ConnectionPool(site, book, relay, 4)
-    route = RouterHost(site, 1, book, relay, send)
+    open_txns, relay = OpenTxns(), Relay(1 << 20)
+    send = ConnectionPool(site, open_txns, relay, 4)
+    route = RouterHost(site, 1, open_txns, relay, send)
     answered = {}
     lanes = SimpleNamespace(pump=lambda: None, drop=lambda hop, at: None)
     hops = {}
@@ -365,7 +365,7 @@
             if what == "withdraw":
                 if streams.pop(ident, None) is not None:
                     withdrawn.add(ident)
-                    if book.withdraw(ident):
+                    if open_txns.withdraw(ident):
                         route.post(route.withdrawn, ident)
             elif hop is None:
                 continue
@@ -397,7 +397,7 @@
                 outlet,
                 ident,
             )
-            book.take(txn)
+            open_txns.take(txn)
             route.post(route.arrived, txn)
             end(ident)
 
@@ -413,17 +413,17 @@
         sys.setswitchinterval(before)
     route.work(0)
     for _ in range(20):  # whatever is still open has its hops ended, tries of their own included
-        for ident in list(book.by_id):
+        for ident in list(open_txns.by_id):
             if hops.get(ident):
                 send.ended(hops[ident][-1], "unreachable")
         route.work(0)
-    for ident in list(book.by_id):  # followers whose leader had gone
+    for ident in list(open_txns.by_id):  # followers whose leader had gone
         route.post(route.cut, ident, hops[ident][-1].number if hops.get(ident) else 0)
     route.work(0)
     double = [ident for ident, words in answered.items() if len(words) != 1]
     both = [ident for ident in answered if ident in withdrawn]
     none = [ident for ident in range(1, count_of + 1) if ident not in answered and ident not in withdrawn]
-    assert not double and not both and not none and not book.by_id and relay.done() and not holding.broken
+    assert not double and not both and not none and not open_txns.by_id and relay.done() and not holding.broken
 
 
 def test_an_error_in_the_router_costs_its_event_alone_whatever_its_kind_and_thread(monkeypatch):
@@ -448,8 +448,8 @@
     outlet = Outlet(here, encode, route.relay)
     outlet.open(1, 1)
     at = clock()
-    route.book.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, outlet, 1))
-    route.post(route.arrived, route.book.by_id[1])  # no server is listed
+    route.open_txns.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, outlet, 1))
+    route.post(route.arrived, route.open_txns.by_id[1])  # no server is listed
     there.setblocking(False)
     assert there.recv(100)[9] == frames.REFUSED and route.relay.done()
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -595,23 +595,23 @@
 
 def test_an_answer_is_owed_until_it_is_with_its_connection():
     """Found at a restart: the book was empty, and the program ended before its last answer was written."""
-    relay, book, seen = Relay(1 << 20), OpenTxns(), []
-    send = ConnectionPool(deployment(settings()), book, relay, 4)
+    relay, open_txns, seen = Relay(1 << 20), OpenTxns(), []
+    send = ConnectionPool(deployment(settings()), open_txns, relay, 4)
     send.route = Events()
-    outlet = SimpleNamespace(answer=lambda *about: seen.append((relay.done(), dict(book.by_id))))
-    book.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, outlet, 1))
+    outlet = SimpleNamespace(answer=lambda *about: seen.append((relay.done(), dict(open_txns.by_id))))
+    open_txns.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, outlet, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
     send.answered(hop, resp.reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
     assert seen == [(False, {})] and relay.done()
 
 
 def test_a_withdrawn_txn_is_not_answered_and_the_book_gives_each_away_once():
-    book = OpenTxns()
+    open_txns = OpenTxns()
     txn = Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"body", 0, 0, None, 1)
-    book.take(txn)
-    assert book.bytes == 4
-    assert book.settle(5, Answer("completed")) is txn and book.settle(5, Answer("aborted")) is None
-    assert not book.withdraw(5) and book.counts["late"] == 1 and book.counts["completed"] == 1 and not book.bytes
+    open_txns.take(txn)
+    assert open_txns.bytes == 4
+    assert open_txns.settle(5, Answer("completed")) is txn and open_txns.settle(5, Answer("aborted")) is None
+    assert not open_txns.withdraw(5) and open_txns.counts["late"] == 1 and open_txns.counts["completed"] == 1 and not open_txns.bytes
 
 
 def test_a_change_of_the_list_may_hold_only_what_has_changed():
@@ -643,15 +643,15 @@
     route = RouterHost(deployment(settings()), 1, OpenTxns(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
-    admit, outlet = Admission(route.site, route.book, route, 1000), Outlet(here, encode, route.relay)
+    admit, outlet = Admission(route.site, route.open_txns, route, 1000), Outlet(here, encode, route.relay)
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
     route.lock.acquire()  # another thread is at it, and does not get on
     admit.request(request, outlet, 0)
-    assert 0.6e9 < route.book.by_id[1].limit_at <= 0.675e9
+    assert 0.6e9 < route.open_txns.by_id[1].limit_at <= 0.675e9
     for _ in range(1000):
         route.post(lambda: None)
     admit.request(replace(request, stream=2, txn="2" * 16), outlet, 0)
-    assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(route.book.by_id) == [1]
+    assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(route.open_txns.by_id) == [1]
 
 
 def test_a_cut_at_the_time_limit_does_not_wait_behind_other_events():
@@ -659,14 +659,14 @@
     quiet = Listener()
     here, there = socket.socketpair()
     send = sender(quiet.address)
-    route = RouterHost(send.site, 1, send.book, send.relay, send)
+    route = RouterHost(send.site, 1, send.open_txns, send.relay, send)
     row = ListedServer("c0", send.servers["c0"].address, "east", "std", 0, "up", 50.0, 0)
     route.list_told(ListChange(True, (row,)), now=True)
     outlet = Outlet(here, encode, route.relay)
     outlet.streams[1] = 1
     now = clock()
-    route.book.take(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, outlet, 1))
-    route.post(route.arrived, route.book.by_id[1])
+    route.open_txns.take(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, outlet, 1))
+    route.post(route.arrived, route.open_txns.by_id[1])
     (hop,) = route.hops.values()
     left = []
 
@@ -677,7 +677,7 @@
 
     route.queue.append((always, (), clock()))
     route.work(0)
-    assert hop.ended and not route.book.by_id and left[-2] == 1 and clock() >= now + 100 * MS
+    assert hop.ended and not route.open_txns.by_id and left[-2] == 1 and clock() >= now + 100 * MS
     assert there.recv(100)[9] == 66
 
 
@@ -710,8 +710,8 @@
 def test_a_connection_that_was_idle_is_not_closed_over_a_request_that_lies_unread():
     """Found by the laboratory's herd: a router stopped for 6 s closed connections as idle before their readers had a turn; what a
     client had sent meanwhile was never answered."""
-    book, relay = OpenTxns(), Relay(1 << 20)
-    takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, book, None, relay)
+    open_txns, relay = OpenTxns(), Relay(1 << 20)
+    takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, open_txns, None, relay)
     here, there = socket.socketpair()
     client = ClientConnection(takein, here)
     takein.clients.add(client)
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -94,7 +94,7 @@
     dialled = dials_wait(monkeypatch)
     for attempt in attempts:
         attempt.cut_at = clock() + 3000 * MS
-        outlet = send.book.by_id[attempt.ident].outlet
+        outlet = send.open_txns.by_id[attempt.ident].outlet
         monkeypatch.setattr(outlet, "look", slow_look(outlet.look, order))
         lane = send.hop(attempt)
     send.looked, send.board = 0, SimpleNamespace(caught_up=lambda: order.append("waits"))
