--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -14,7 +14,7 @@
 from fieldspur.net import invariants, logs
 from fieldspur.net.admission import Admission
 from fieldspur.net.client_listener import ClientListener
-from fieldspur.net.client_writer import Relay
+from fieldspur.net.client_writer import AnswerSender
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import contained_errors, keep_running, retry_while_exhausted
@@ -54,7 +54,7 @@
     def __init__(self, node: Node, wishes: Operators = Operators()):
         site, self.node, self.wishes = node.site, node, wishes
         share = wishes.memory
-        self.relay = Relay(most_held=int(node.memory * share.answers))
+        self.relay = AnswerSender(most_held=int(node.memory * share.answers))
         self.open_txns = OpenTxns()
         # Descriptors: half for clients, who hold a third at most, a quarter for servers, the rest in reserve. A
         # connection to a server takes up to 0.6 MB, as measured: together they get under a third of the memory.
--- a/fieldspur/net/arrival_times.py
+++ b/fieldspur/net/arrival_times.py
@@ -11,7 +11,7 @@
 import socket
 import threading
 
-from fieldspur.net.client_writer import Relay
+from fieldspur.net.client_writer import AnswerSender
 from fieldspur.net.nonblocking import time_since_last_data
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.site import MS
@@ -38,7 +38,7 @@
 class ArrivalTimes:
     """Dates what one connection's reader reads. For that thread alone."""
 
-    def __init__(self, sock: socket.socket, relay: Relay):
+    def __init__(self, sock: socket.socket, relay: AnswerSender):
         self.sock, self.relay = sock, relay
         self.thread = threading.get_native_id()
         self.read_at = 0  # when the reader last came back from a read
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -11,7 +11,7 @@
 from fieldspur.net import frames
 from fieldspur.net.admission import Admission
 from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, ArrivalTimes
-from fieldspur.net.client_writer import TICK, Outlet, Relay
+from fieldspur.net.client_writer import TICK, AnswerSender, Outlet
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, bytes_received, receive_poll
@@ -218,7 +218,7 @@
         admit: Admission,
         open_txns: OpenTxns,
         route,
-        relay: Relay,
+        relay: AnswerSender,
     ):
         self.admit, self.open_txns, self.route, self.relay = admit, open_txns, route, relay
         self.most_clients, self.gone_after_ms = most_clients, gone_after // MS
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -35,7 +35,7 @@
 class Outlet:
     """The writing side of one client's connection; `encode` turns an answer into its protocol's bytes."""
 
-    def __init__(self, sock: socket.socket, encode, relay: Relay):
+    def __init__(self, sock: socket.socket, encode, relay: AnswerSender):
         self.sock, self.encode, self.relay = sock, encode, relay
         self.streams: dict[int, int] = {}  # open txns by stream
         self.lock = threading.Lock()
@@ -239,7 +239,7 @@
             self.freed()
 
 
-class Relay:
+class AnswerSender:
     """Answers clients and never waits for any of them: at once, by the thread that has the answer."""
 
     def __init__(self, most_held: int):
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -8,7 +8,7 @@
 
 from fieldspur.decide import LANES
 from fieldspur.net import resp
-from fieldspur.net.client_writer import LEFT, UNREAD, Relay
+from fieldspur.net.client_writer import LEFT, UNREAD, AnswerSender
 from fieldspur.net.invariants import check_invariant
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
@@ -25,7 +25,7 @@
 class ConnectionPool:
     """All connections to servers. Under the Router's lock things are only put into queues here."""
 
-    def __init__(self, site: Deployment, open_txns: OpenTxns, relay: Relay, most_lanes: int):
+    def __init__(self, site: Deployment, open_txns: OpenTxns, relay: AnswerSender, most_lanes: int):
         self.site, self.open_txns, self.relay, self.most_lanes = site, open_txns, relay, most_lanes
         self.route = None  # set by it
         self.board, self.looked = None, 0  # the board, set by who has both; when a hop last looked at it
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -11,7 +11,7 @@
 
 from fieldspur.host import RESULTS
 from fieldspur.net import resp
-from fieldspur.net.client_writer import Relay
+from fieldspur.net.client_writer import AnswerSender
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, Purge
 from fieldspur.net.invariants import check_invariant, contained_errors
@@ -39,7 +39,7 @@
 
 
 class RouterHost:
-    def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, relay: Relay, send: ConnectionPool):
+    def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, relay: AnswerSender, send: ConnectionPool):
         self.site, self.open_txns, self.relay, self.sender = site, open_txns, relay, send
         send.route = self
         self.queue: deque = deque()  # bounded by most_queued and the open txns
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
 from fieldspur.bench.path import ROOT
 from fieldspur.decide import MS, SECOND, Collapsing, Fleet, Purges, Router
 from fieldspur.host import HIT, JOINED, NEVER_RAN, PAST_FRESH, RemapRule
-from fieldspur.net.client_writer import Relay
+from fieldspur.net.client_writer import AnswerSender
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
 from fieldspur.net.open_txns import OpenTxns
@@ -643,7 +643,7 @@
 
 def sender(address, state="up", lanes=4, open_txns=None, **others):
     """Connections to `c0`, in that state, and to others by name, which are up."""
-    relay = Relay(1 << 20)
+    relay = AnswerSender(1 << 20)
     if open_txns is None:
         open_txns = OpenTxns()
         open_txns.by_id = Standing()
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -13,7 +13,7 @@
 from fieldspur.decide import MS
 from fieldspur.net import arrival_times
 from fieldspur.net.arrival_times import READS_BETWEEN_LOOKS, ArrivalTimes, core_wait
-from fieldspur.net.client_writer import TICK_LATE, Relay
+from fieldspur.net.client_writer import TICK_LATE, AnswerSender
 
 
 @pytest.fixture
@@ -27,7 +27,7 @@
 
     monkeypatch.setattr(arrival_times, "core_wait", looked)
     monkeypatch.setattr(arrival_times, "time_since_last_data", lambda sock: seen.lay)
-    relay = Relay(1 << 20)
+    relay = AnswerSender(1 << 20)
     found = ArrivalTimes(socket.socket(), relay)
     found.read(10_000 * MS, False)
     found.worked_off(unfinished=False)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -30,7 +30,7 @@
 from fieldspur.decide import MS, SECOND
 from fieldspur.net import resp
 from fieldspur.net.client_listener import ClientListener, encode
-from fieldspur.net.client_writer import LEFT, UNREAD, Outlet, Relay
+from fieldspur.net.client_writer import LEFT, UNREAD, AnswerSender, Outlet
 from fieldspur.net.connection_pool import LOOK_CLIENT
 from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
@@ -216,7 +216,7 @@
 def test_an_answer_past_its_time_limit_waits_for_what_its_client_has_sent(unread, lies):
     """The process was stopped, or had no core: server's answer, client's cancel and time limit have all come."""
     here, there = pair()
-    relay = Relay(1 << 20)
+    relay = AnswerSender(1 << 20)
     outlet = Outlet(here, encode, relay)
     txn = Txn(5, "%016x" % 5, 0, "media", "a" * 16, 0, 1, 1.0, None, None, b"", 0, clock() - 100 * MS, outlet, 1)
     assert outlet.open(1, 5)
@@ -346,7 +346,7 @@
 
 def entered(most=8):
     """A place where clients are taken in, without the thread that accepts them: a test says when one is."""
-    open_txns, relay = OpenTxns(), Relay(1 << 20)
+    open_txns, relay = OpenTxns(), AnswerSender(1 << 20)
     route = SimpleNamespace(gather=lambda: None, handle=lambda: None, post=lambda *about: None, withdrawn=None)
     admit = SimpleNamespace(taken=[], come_back_ms=0)
     admit.request = lambda request, outlet, now: outlet.open(request.stream, 7) and not admit.taken.append(request.stream)
@@ -419,7 +419,7 @@
 def test_a_reader_that_ends_as_the_writer_has_just_ended_frees_the_descriptor_once():
     """The reader's end comes between the writer's last look, when nothing waited and nothing had ended, and its return."""
     here, there = pair()
-    outlet, freed = Outlet(here, encode, Relay(1 << 20)), []
+    outlet, freed = Outlet(here, encode, AnswerSender(1 << 20)), []
     outlet.freed = lambda: freed.append(here.fileno())
 
     class Lock:
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -22,7 +22,7 @@
 from fieldspur.net import discovery as board_module
 from fieldspur.net import server_connection as lane_module
 from fieldspur.net.client_listener import ClientConnection
-from fieldspur.net.client_writer import Relay
+from fieldspur.net.client_writer import AnswerSender
 from fieldspur.net.discovery import DiscoveryClient, ListChange
 from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.open_txns import Answer, OpenTxns
@@ -350,7 +350,7 @@
 def test_a_look_at_a_client_whose_reader_closes_its_socket_meanwhile_ends_nothing():
     """The threads that look are the sweep, the listener's and the main one: an error in any of them ends the program."""
     here, _there = socket.socketpair()
-    client = ClientConnection(SimpleNamespace(relay=Relay(1 << 20), gone_after_ms=30_000, freed=lambda client: None), here)
+    client = ClientConnection(SimpleNamespace(relay=AnswerSender(1 << 20), gone_after_ms=30_000, freed=lambda client: None), here)
     client.sock = Closing(here, client.outlet.end)
     assert client.unread() is False
     client.sock.ending.join()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -22,7 +22,7 @@
 from fieldspur.net import frames, nonblocking, resp
 from fieldspur.net import invariants as holding
 from fieldspur.net.client_listener import encode
-from fieldspur.net.client_writer import Outlet, Relay
+from fieldspur.net.client_writer import AnswerSender, Outlet
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
@@ -277,7 +277,7 @@
 
 def plain_route():
     site = deployment(settings())
-    return RouterHost(site, 1, OpenTxns(), Relay(1 << 20), ConnectionPool(site, OpenTxns(), Relay(1 << 20), 4))
+    return RouterHost(site, 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(site, OpenTxns(), AnswerSender(1 << 20), 4))
 
 
 def test_events_of_many_threads_are_handled_once_each_by_one_caller_at_a_time():
@@ -333,7 +333,7 @@
     """5,000 txns a seed: an answer, an error, a cut, a withdrawal, a broken connection and the Router's own end fall on each
     other in a generated order, from several threads."""
     chance, site = random.Random(seed), deployment(settings())
-    open_txns, relay = OpenTxns(), Relay(1 << 20)
+    open_txns, relay = OpenTxns(), AnswerSender(1 << 20)
     send = ConnectionPool(site, open_txns, relay, 4)
     route = RouterHost(site, 1, open_txns, relay, send)
     answered = {}
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,7 +17,7 @@
 from fieldspur.net import resp
 from fieldspur.net.admission import Admission
 from fieldspur.net.client_listener import ClientConnection, ClientListener, encode
-from fieldspur.net.client_writer import Outlet, Relay
+from fieldspur.net.client_writer import AnswerSender, Outlet
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, ListedServer
 from fieldspur.net.frames import Request
@@ -445,7 +445,7 @@
 
 def test_a_connection_used_as_it_should_be_is_kept_for_longer_than_one_that_is_not():
     here, _there = socket.socketpair()
-    client = ClientConnection(SimpleNamespace(relay=Relay(1 << 20), gone_after_ms=30_000), here)
+    client = ClientConnection(SimpleNamespace(relay=AnswerSender(1 << 20), gone_after_ms=30_000), here)
     begun = client.since
     assert not client.overdue(begun + 1.9) and client.overdue(begun + 2.1) == "idle"
     client.proved = True
@@ -565,7 +565,7 @@
 
 
 def test_a_lag_is_forgotten_with_time_whatever_the_traffic():
-    route = RouterHost(deployment(settings()), 1, OpenTxns(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
+    route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.waited(800 * MS)
     route.clock += 2000 * MS
     route.waited(0)
@@ -585,7 +585,7 @@
 
 def test_answers_that_no_memory_is_left_for_fail_and_say_so():
     here, there = socket.socketpair()
-    relay = Relay(most_held=1000)
+    relay = AnswerSender(most_held=1000)
     outlet = Outlet(here, encode, relay)
     outlet.streams[1] = 5
     assert outlet.answer(1, Answer("completed", body=b"x" * 2000))
@@ -595,7 +595,7 @@
 
 def test_an_answer_is_owed_until_it_is_with_its_connection():
     """Found at a restart: the book was empty, and the program ended before its last answer was written."""
-    relay, open_txns, seen = Relay(1 << 20), OpenTxns(), []
+    relay, open_txns, seen = AnswerSender(1 << 20), OpenTxns(), []
     send = ConnectionPool(deployment(settings()), open_txns, relay, 4)
     send.route = Events()
     outlet = SimpleNamespace(answer=lambda *about: seen.append((relay.done(), dict(open_txns.by_id))))
@@ -631,7 +631,7 @@
 
 def test_bodies_that_no_memory_is_left_for_are_refused_at_once():
     here, there = socket.socketpair()
-    site, outlet = deployment(settings()), Outlet(here, encode, Relay(1 << 20))
+    site, outlet = deployment(settings()), Outlet(here, encode, AnswerSender(1 << 20))
     admit = Admission(site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
     for stream in (1, 2):
         admit.request(Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), outlet, clock())
@@ -640,7 +640,7 @@
 
 def test_a_router_that_runs_behind_takes_that_off_the_time_limit_and_then_refuses():
     here, there = socket.socketpair()
-    route = RouterHost(deployment(settings()), 1, OpenTxns(), Relay(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
+    route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
     admit, outlet = Admission(route.site, route.open_txns, route, 1000), Outlet(here, encode, route.relay)
@@ -710,7 +710,7 @@
 def test_a_connection_that_was_idle_is_not_closed_over_a_request_that_lies_unread():
     """Found by the laboratory's herd: a router stopped for 6 s closed connections as idle before their readers had a turn; what a
     client had sent meanwhile was never answered."""
-    open_txns, relay = OpenTxns(), Relay(1 << 20)
+    open_txns, relay = OpenTxns(), AnswerSender(1 << 20)
     takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, open_txns, None, relay)
     here, there = socket.socketpair()
     client = ClientConnection(takein, here)
