--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -54,12 +54,12 @@
     def __init__(self, node: Node, wishes: Operators = Operators()):
         site, self.node, self.wishes = node.site, node, wishes
         share = wishes.memory
-        self.relay = AnswerSender(most_held=int(node.memory * share.answers))
+        self.answer_sender = AnswerSender(most_held=int(node.memory * share.answers))
         self.open_txns = OpenTxns()
         # Descriptors: half for clients, who hold a third at most, a quarter for servers, the rest in reserve. A
         # connection to a server takes up to 0.6 MB, as measured: together they get under a third of the memory.
-        self.send = ConnectionPool(site, self.open_txns, self.relay, min(node.sockets // 4, node.memory // LANE_MEMORY))
-        self.route = RouterHost(site, node.seed, self.open_txns, self.relay, self.send)
+        self.send = ConnectionPool(site, self.open_txns, self.answer_sender, min(node.sockets // 4, node.memory // LANE_MEMORY))
+        self.route = RouterHost(site, node.seed, self.open_txns, self.answer_sender, self.send)
         overlay = None
         if wishes.fleet.name:  # off by default; only then is any of it imported
             if node.name not in wishes.fleet.members:
@@ -77,7 +77,7 @@
             Admission(site, self.open_txns, self.route, int(node.memory * share.bodies)),
             self.open_txns,
             self.route,
-            self.relay,
+            self.answer_sender,
         )
         self.talk = None
         if overlay is not None:
@@ -156,8 +156,8 @@
                     "lag_ms": lag // MS,
                     "pause_ms": int(pause * 1000),
                     "board_ms": int(waited * 1000),
-                    "held": self.relay.held,
-                    "too_much": self.relay.too_much,
+                    "held": self.answer_sender.held,
+                    "too_much": self.answer_sender.too_much,
                     "cpu": time.process_time(),
                     "system": os.times().system,
                     "peak_mb": logs.peak_memory_mb(),
@@ -219,7 +219,7 @@
             late = took > STILL_COMING + left
             if late and self.open_txns.by_id:
                 self.route.post(self.route.time_is_up)
-            if may_exit(self.takein.shut(late), len(self.open_txns.by_id), not self.relay.done()):
+            if may_exit(self.takein.shut(late), len(self.open_txns.by_id), not self.answer_sender.done()):
                 break
             time.sleep(0.01)
         parting_ends = min(time.monotonic() + PARTING, killed_at - LAST_MOMENT)
--- a/fieldspur/net/arrival_times.py
+++ b/fieldspur/net/arrival_times.py
@@ -38,8 +38,8 @@
 class ArrivalTimes:
     """Dates what one connection's reader reads. For that thread alone."""
 
-    def __init__(self, sock: socket.socket, relay: AnswerSender):
-        self.sock, self.relay = sock, relay
+    def __init__(self, sock: socket.socket, answer_sender: AnswerSender):
+        self.sock, self.answer_sender = sock, answer_sender
         self.thread = threading.get_native_id()
         self.read_at = 0  # when the reader last came back from a read
         self.late_since = NEVER  # since when what is read now may have lain in the socket; NEVER: it was read at once
@@ -65,7 +65,7 @@
             waited = core_wait(self.thread)
             turn = self.read_at - max(0, waited - self.core_waited)
             self.core_waited, self.reads = waited, 0
-            self.earliest = max(min(self.late_since, self.latest), min(self.latest, turn, self.relay.stalled_since(self.read_at)))
+            self.earliest = max(min(self.late_since, self.latest), min(self.latest, turn, self.answer_sender.stalled_since(self.read_at)))
         return self.earliest
 
     def of_request(self, followed: bool) -> int:
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -73,7 +73,7 @@
 
     def __init__(self, takein: ClientListener, sock: socket.socket):
         self.takein, self.sock = takein, sock
-        self.outlet = Outlet(sock, encode, takein.relay)
+        self.outlet = Outlet(sock, encode, takein.answer_sender)
         self.outlet.freed = self.free
         self.used = UsedStreams()
         self.since = time.monotonic()  # its accept, or when its unfinished frame began, or it could not be read
@@ -83,7 +83,7 @@
 
     def read(self) -> None:
         decoder, after, behind, taken = frames.Decoder(), 0, 0, False
-        window, arrivals = decoder.window, ArrivalTimes(self.sock, self.takein.relay)
+        window, arrivals = decoder.window, ArrivalTimes(self.sock, self.takein.answer_sender)
         looks = receive_poll(self.sock).poll
         try:
             while size := self.sock.recv_into(window.view if self.failed or self.outlet.shut_at else window.room()):
@@ -218,9 +218,9 @@
         admit: Admission,
         open_txns: OpenTxns,
         route,
-        relay: AnswerSender,
+        answer_sender: AnswerSender,
     ):
-        self.admit, self.open_txns, self.route, self.relay = admit, open_txns, route, relay
+        self.admit, self.open_txns, self.route, self.answer_sender = admit, open_txns, route, answer_sender
         self.most_clients, self.gone_after_ms = most_clients, gone_after // MS
         self.most_bytes, self.bytes = most_bytes, 0  # of unfinished frames
         self.ready = self.over = False  # over: the program's end has begun
@@ -276,7 +276,7 @@
     def watch(self) -> None:
         """Closes connections that have been given their time."""
         while True:
-            self.relay.tick(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
+            self.answer_sender.tick(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
             time.sleep(TICK / 1e9)
             self.look(time.monotonic())
 
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -35,8 +35,8 @@
 class Outlet:
     """The writing side of one client's connection; `encode` turns an answer into its protocol's bytes."""
 
-    def __init__(self, sock: socket.socket, encode, relay: AnswerSender):
-        self.sock, self.encode, self.relay = sock, encode, relay
+    def __init__(self, sock: socket.socket, encode, answer_sender: AnswerSender):
+        self.sock, self.encode, self.answer_sender = sock, encode, answer_sender
         self.streams: dict[int, int] = {}  # open txns by stream
         self.lock = threading.Lock()
         self.corked: list[bytes] = []  # answers of one read, to go out together; nothing is owed less for it
@@ -94,7 +94,7 @@
             self.late = [answer for answer in self.late if answer.behind > read]
             self.asked = bool(self.hops or self.late)
             for answer in late:
-                self.relay.hold(-sum(map(len, answer.data)))
+                self.answer_sender.hold(-sum(map(len, answer.data)))
                 if self.streams.pop(answer.stream, None) is not None:
                     self.put(answer.data)
         for hop in hops:
@@ -104,15 +104,15 @@
         """False where the client has withdrawn: taking the stream out is what gives the right to use it. With `cork` a
         short answer waits for `uncork`, for which the outlet is put there. A `late` one, past its time limit or right after a stop,
         guards against a process that had no core and answers a client whose withdrawal lies unread: its reader goes first."""
-        if len(answer.body) + self.relay.held > self.relay.most_held:
-            self.relay.too_much += 1  # clients that do not read hold all memory for answers
+        if len(answer.body) + self.answer_sender.held > self.answer_sender.most_held:
+            self.answer_sender.too_much += 1  # clients that do not read hold all memory for answers
             answer = Answer("aborted")
         data = self.encode(stream, answer)  # buffers; a long body as it lies in the server's connection
         with self.lock:  # both at once, or the connection might be closed in between as one that owes nothing
             if late and (found := self.found(in_hand=True)):
                 if found == UNREAD:
                     data = tuple(map(bytes, data))  # it lay in the server's connection
-                    self.relay.hold(sum(map(len, data)))
+                    self.answer_sender.hold(sum(map(len, data)))
                     self.late.append(LateAnswer(stream, data, self.sent))
                 return False
             if self.streams.pop(stream, None) is None:
@@ -156,14 +156,14 @@
             self.writing = True
         for piece in data:
             self.waiting.append(bytes(piece))  # the one copy: the server's connection reads on into its buffer
-            self.relay.hold(len(piece))
+            self.answer_sender.hold(len(piece))
 
     def drain(self) -> None:
         last = False  # whoever ends it last frees its descriptor, and says so once
         while True:
             with self.lock:
                 if not self.waiting or self.ended:
-                    self.relay.hold(-sum(map(len, self.waiting)))
+                    self.answer_sender.hold(-sum(map(len, self.waiting)))
                     self.waiting.clear()
                     self.writing = False
                     last = self.ended
@@ -182,7 +182,7 @@
                 contained_errors.record("answer")
                 self.cut_off()
             self.idle_since = time.monotonic()
-            self.relay.hold(-len(data))
+            self.answer_sender.hold(-len(data))
         if last and self.freed is not None:
             self.freed()
 
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -25,8 +25,8 @@
 class ConnectionPool:
     """All connections to servers. Under the Router's lock things are only put into queues here."""
 
-    def __init__(self, site: Deployment, open_txns: OpenTxns, relay: AnswerSender, most_lanes: int):
-        self.site, self.open_txns, self.relay, self.most_lanes = site, open_txns, relay, most_lanes
+    def __init__(self, site: Deployment, open_txns: OpenTxns, answer_sender: AnswerSender, most_lanes: int):
+        self.site, self.open_txns, self.answer_sender, self.most_lanes = site, open_txns, answer_sender, most_lanes
         self.route = None  # set by it
         self.board, self.looked = None, 0  # the board, set by who has both; when a hop last looked at it
         self.rules = AttemptRules(site.connect_timeout)
@@ -214,10 +214,10 @@
                 return self.report(hop, "error")
             answer = Answer("completed", 0, unchanged, reply.body)
             owed = hop.ident, hop.number
-            self.relay.owing.add(owed)
+            self.answer_sender.owing.add(owed)
             txn = self.open_txns.settle(hop.ident, answer)
             if txn is not None:
-                self.relay.answer(txn, answer, cork)
-            self.relay.owing.discard(owed)
+                self.answer_sender.answer(txn, answer, cork)
+            self.answer_sender.owing.discard(owed)
         reply.body = b""  # it lay in the connection's buffer
         self.report(hop, reply.result, reply, at)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -39,8 +39,8 @@
 
 
 class RouterHost:
-    def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, relay: AnswerSender, send: ConnectionPool):
-        self.site, self.open_txns, self.relay, self.sender = site, open_txns, relay, send
+    def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, answer_sender: AnswerSender, send: ConnectionPool):
+        self.site, self.open_txns, self.answer_sender, self.sender = site, open_txns, answer_sender, send
         send.route = self
         self.queue: deque = deque()  # bounded by most_queued and the open txns
         self.most_queued = MOST_QUEUED
@@ -126,8 +126,8 @@
                     if lane is not None:
                         lane.pump()
                     else:
-                        self.relay.answer(txn, answer)
-                        self.relay.owing.discard((txn.ident, BY_ROUTER))
+                        self.answer_sender.answer(txn, answer)
+                        self.answer_sender.owing.discard((txn.ident, BY_ROUTER))
                 if not queue:
                     return True
                 most -= 1
@@ -464,7 +464,7 @@
         self.answer(ident, Answer("aborted"))
 
     def answer(self, ident: int, answer: Answer) -> None:
-        self.relay.owing.add((ident, BY_ROUTER))
+        self.answer_sender.owing.add((ident, BY_ROUTER))
         txn = self.open_txns.settle(ident, answer)
         if txn is not None:
             if log.isEnabledFor(logging.DEBUG):
@@ -476,7 +476,7 @@
                 )
             self.outbox.append((None, txn, answer))
         else:
-            self.relay.owing.discard((ident, BY_ROUTER))
+            self.answer_sender.owing.discard((ident, BY_ROUTER))
 
     def wake(self, label, at) -> None:
         self.wakes[label] = at
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -643,11 +643,11 @@
 
 def sender(address, state="up", lanes=4, open_txns=None, **others):
     """Connections to `c0`, in that state, and to others by name, which are up."""
-    relay = AnswerSender(1 << 20)
+    answer_sender = AnswerSender(1 << 20)
     if open_txns is None:
         open_txns = OpenTxns()
         open_txns.by_id = Standing()
-    send = ConnectionPool(deployment(settings()), open_txns, relay, lanes)
+    send = ConnectionPool(deployment(settings()), open_txns, answer_sender, lanes)
     send.route = Events()
     for name, where in {"c0": address, **others}.items():
         host, port = where.split(":")
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -27,12 +27,12 @@
 
     monkeypatch.setattr(arrival_times, "core_wait", looked)
     monkeypatch.setattr(arrival_times, "time_since_last_data", lambda sock: seen.lay)
-    relay = AnswerSender(1 << 20)
-    found = ArrivalTimes(socket.socket(), relay)
+    answer_sender = AnswerSender(1 << 20)
+    found = ArrivalTimes(socket.socket(), answer_sender)
     found.read(10_000 * MS, False)
     found.worked_off(unfinished=False)
-    relay.tick(12_000 * MS)
-    return found, relay, seen
+    answer_sender.tick(12_000 * MS)
+    return found, answer_sender, seen
 
 
 def test_a_request_alone_in_its_read_has_the_time_of_the_last_bytes_and_costs_no_look(reader):
@@ -45,12 +45,12 @@
 
 
 def test_a_thread_that_waited_for_a_core_dates_all_but_the_last_request_by_that(reader):
-    arrivals, relay, seen = reader
+    arrivals, answer_sender, seen = reader
     seen.waited = 700 * MS
     arrivals.read(12_000 * MS, False)
     assert arrivals.of_request(followed=True) == 11_300 * MS and arrivals.of_request(followed=False) == 12_000 * MS
     arrivals.worked_off(unfinished=False)
-    relay.tick(12_200 * MS)
+    answer_sender.tick(12_200 * MS)
     arrivals.read(12_400 * MS, False)  # the same wait is not counted again
     assert arrivals.of_request(followed=True) == 12_400 * MS
 
@@ -67,17 +67,17 @@
 
 @pytest.mark.parametrize("ticked_first", [True, False])
 def test_a_process_that_was_stopped_dates_by_the_sweep_whoever_goes_on_first(reader, ticked_first):
-    arrivals, relay, _ = reader
+    arrivals, answer_sender, _ = reader
     goes_on = 12_000 * MS + TICK_LATE + 400 * MS
     if ticked_first:
-        relay.tick(goes_on)
+        answer_sender.tick(goes_on)
     arrivals.read(goes_on + 5 * MS, False)
     assert arrivals.of_request(followed=True) == 12_000 * MS
 
 
 def test_what_lies_behind_a_late_read_came_after_it_and_is_dated_so(reader):
-    arrivals, relay, _ = reader
-    relay.tick(12_600 * MS)
+    arrivals, answer_sender, _ = reader
+    answer_sender.tick(12_600 * MS)
     arrivals.read(12_610 * MS, True)
     arrivals.worked_off(unfinished=True)
     arrivals.read(12_611 * MS, True)
@@ -91,14 +91,14 @@
 
 
 def test_many_short_waits_of_a_thread_are_not_taken_for_one_long_one(reader):
-    arrivals, relay, seen = reader
+    arrivals, answer_sender, seen = reader
     for n in range(10 * READS_BETWEEN_LOOKS):
-        relay.tick((12_000 + n) * MS)
+        answer_sender.tick((12_000 + n) * MS)
         seen.waited += MS // 10
         arrivals.read((12_000 + n) * MS, False)
         arrivals.worked_off(unfinished=False)
-    relay.ticked = arrivals.read_at + 1000 * MS
-    arrivals.read(relay.ticked, False)
+    answer_sender.ticked = arrivals.read_at + 1000 * MS
+    arrivals.read(answer_sender.ticked, False)
     assert arrivals.read_at - arrivals.of_request(followed=True) <= READS_BETWEEN_LOOKS * MS // 10
     assert seen.looks <= 12
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -71,7 +71,7 @@
 def stays(send):
     """The outlet of a client that stays."""
     here, there = pair()
-    outlet = Outlet(here, encode, send.relay)
+    outlet = Outlet(here, encode, send.answer_sender)
     outlet.there = there
     return outlet
 
@@ -83,7 +83,7 @@
     """The reader takes the txn out of the book; the Router learns of it later, and the hop may be at its connection by then."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    hop = taken(send, Outlet(here, encode, send.relay))
+    hop = taken(send, Outlet(here, encode, send.answer_sender))
     send.open_txns.withdraw(5)
     send.hop(hop).pump()
     assert [about[:2] for about in until(lambda: send.route.posted)] == [(hop, "unsent")] and not hop.written and not cache.wants
@@ -95,7 +95,7 @@
     """A txn that has waited, at the gate, behind a leader, for a dial or its turn to retry; its reader has not had the core since."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    hop = taken(send, Outlet(here, encode, send.relay), before_ms=50)
+    hop = taken(send, Outlet(here, encode, send.answer_sender), before_ms=50)
     if leaves == "resets":
         there.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     if leaves == "closes behind bytes":
@@ -115,7 +115,7 @@
     """A cancel that is there already: the reader takes it while the attempt waits, and the attempt is not begun."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    outlet = Outlet(here, encode, send.relay)
+    outlet = Outlet(here, encode, send.answer_sender)
     hop = taken(send, outlet, before_ms=50)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
     lane = send.hop(hop)
@@ -135,7 +135,7 @@
     """Found in the laboratory: a writer that waited for each such reader left all others' hops waiting behind it."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    outlet = Outlet(here, encode, send.relay)
+    outlet = Outlet(here, encode, send.answer_sender)
     hop, other = taken(send, outlet, before_ms=50), taken(send, stays(send), ident=6, before_ms=50)
     there.sendall(b"more and more")
     lane = send.hop(hop)
@@ -216,16 +216,16 @@
 def test_an_answer_past_its_time_limit_waits_for_what_its_client_has_sent(unread, lies):
     """The process was stopped, or had no core: server's answer, client's cancel and time limit have all come."""
     here, there = pair()
-    relay = AnswerSender(1 << 20)
-    outlet = Outlet(here, encode, relay)
+    answer_sender = AnswerSender(1 << 20)
+    outlet = Outlet(here, encode, answer_sender)
     txn = Txn(5, "%016x" % 5, 0, "media", "a" * 16, 0, 1, 1.0, None, None, b"", 0, clock() - 100 * MS, outlet, 1)
     assert outlet.open(1, 5)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
     select.select([here], [], [])
     if lies == "in its reader's hand":
         here.recv(100)
-    relay.answer(txn, Answer("completed", body=memoryview(b"x" * 70_000)))
-    assert not select.select([there], [], [], 0)[0] and relay.held > 70_000 and outlet.streams
+    answer_sender.answer(txn, Answer("completed", body=memoryview(b"x" * 70_000)))
+    assert not select.select([there], [], [], 0)[0] and answer_sender.held > 70_000 and outlet.streams
     outlet.worked_off += 9  # its reader has its turn
     if lies == "unread":
         here.recv(100)
@@ -233,7 +233,7 @@
         del outlet.streams[1]
     outlet.read_off()
     assert bool(select.select([there], [], [], 0)[0]) == (unread != "its cancel")
-    assert not relay.held and not outlet.streams and not outlet.late
+    assert not answer_sender.held and not outlet.streams and not outlet.late
     here.close(), there.close()
 
 
@@ -346,11 +346,11 @@
 
 def entered(most=8):
     """A place where clients are taken in, without the thread that accepts them: a test says when one is."""
-    open_txns, relay = OpenTxns(), AnswerSender(1 << 20)
+    open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
     route = SimpleNamespace(gather=lambda: None, handle=lambda: None, post=lambda *about: None, withdrawn=None)
     admit = SimpleNamespace(taken=[], come_back_ms=0)
     admit.request = lambda request, outlet, now: outlet.open(request.stream, 7) and not admit.taken.append(request.stream)
-    return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, open_txns, route, relay)
+    return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, open_txns, route, answer_sender)
 
 
 def joins(takein, accept=True):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -243,7 +243,7 @@
     lane = go(send, Hop(99, 0, "f" * 16, "c0", None, want("f" * 16), clock()))
     pairs, outlets = [socket.socketpair() for _ in range(2)], []
     for here, _ in pairs:
-        outlets.append(Outlet(here, encode, send.relay))
+        outlets.append(Outlet(here, encode, send.answer_sender))
     data, at = b"", clock()
     for n in range(6):
         name = f"{n + 1:016x}"
@@ -254,7 +254,7 @@
     seen, put = [], Outlet.uncork
 
     def look(self):
-        seen.append((len(self.corked), self.shut_if_idle(), send.relay.done()))
+        seen.append((len(self.corked), self.shut_if_idle(), send.answer_sender.done()))
         put(self)
 
     Outlet.uncork, decoder = look, resp.Decoder()
@@ -264,7 +264,7 @@
         lane.replies(decoder, len(data))
     finally:
         Outlet.uncork = put
-    assert seen == [(3, False, False)] * 2 and send.relay.done() and len(send.route.posted) == 6
+    assert seen == [(3, False, False)] * 2 and send.answer_sender.done() and len(send.route.posted) == 6
     for n, (_, there) in enumerate(pairs):
         there.setblocking(False)
         assert there.recv(4000) == b"".join(
@@ -333,9 +333,9 @@
     """5,000 txns a seed: an answer, an error, a cut, a withdrawal, a broken connection and the Router's own end fall on each
     other in a generated order, from several threads."""
     chance, site = random.Random(seed), deployment(settings())
-    open_txns, relay = OpenTxns(), AnswerSender(1 << 20)
-    send = ConnectionPool(site, open_txns, relay, 4)
-    route = RouterHost(site, 1, open_txns, relay, send)
+    open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
+    send = ConnectionPool(site, open_txns, answer_sender, 4)
+    route = RouterHost(site, 1, open_txns, answer_sender, send)
     answered = {}
     lanes = SimpleNamespace(pump=lambda: None, drop=lambda hop, at: None)
     hops = {}
@@ -423,7 +423,7 @@
     double = [ident for ident, words in answered.items() if len(words) != 1]
     both = [ident for ident in answered if ident in withdrawn]
     none = [ident for ident in range(1, count_of + 1) if ident not in answered and ident not in withdrawn]
-    assert not double and not both and not none and not open_txns.by_id and relay.done() and not holding.broken
+    assert not double and not both and not none and not open_txns.by_id and answer_sender.done() and not holding.broken
 
 
 def test_an_error_in_the_router_costs_its_event_alone_whatever_its_kind_and_thread(monkeypatch):
@@ -445,13 +445,13 @@
 def test_a_txn_given_up_inside_the_call_that_started_it_is_answered_by_that_thread_at_once():
     route = plain_route()
     here, there = socket.socketpair()
-    outlet = Outlet(here, encode, route.relay)
+    outlet = Outlet(here, encode, route.answer_sender)
     outlet.open(1, 1)
     at = clock()
     route.open_txns.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, outlet, 1))
     route.post(route.arrived, route.open_txns.by_id[1])  # no server is listed
     there.setblocking(False)
-    assert there.recv(100)[9] == frames.REFUSED and route.relay.done()
+    assert there.recv(100)[9] == frames.REFUSED and route.answer_sender.done()
 
 
 def test_an_earlier_timer_wakes_the_timers_thread_and_cancelled_ones_do_not():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -445,7 +445,7 @@
 
 def test_a_connection_used_as_it_should_be_is_kept_for_longer_than_one_that_is_not():
     here, _there = socket.socketpair()
-    client = ClientConnection(SimpleNamespace(relay=AnswerSender(1 << 20), gone_after_ms=30_000), here)
+    client = ClientConnection(SimpleNamespace(answer_sender=AnswerSender(1 << 20), gone_after_ms=30_000), here)
     begun = client.since
     assert not client.overdue(begun + 1.9) and client.overdue(begun + 2.1) == "idle"
     client.proved = True
@@ -585,24 +585,24 @@
 
 def test_answers_that_no_memory_is_left_for_fail_and_say_so():
     here, there = socket.socketpair()
-    relay = AnswerSender(most_held=1000)
-    outlet = Outlet(here, encode, relay)
+    answer_sender = AnswerSender(most_held=1000)
+    outlet = Outlet(here, encode, answer_sender)
     outlet.streams[1] = 5
     assert outlet.answer(1, Answer("completed", body=b"x" * 2000))
-    assert there.recv(100) == b"".join(encode(1, Answer("aborted"))) and relay.too_much == 1
+    assert there.recv(100) == b"".join(encode(1, Answer("aborted"))) and answer_sender.too_much == 1
     assert not outlet.answer(1, Answer("aborted"))
 
 
 def test_an_answer_is_owed_until_it_is_with_its_connection():
     """Found at a restart: the book was empty, and the program ended before its last answer was written."""
-    relay, open_txns, seen = AnswerSender(1 << 20), OpenTxns(), []
-    send = ConnectionPool(deployment(settings()), open_txns, relay, 4)
+    answer_sender, open_txns, seen = AnswerSender(1 << 20), OpenTxns(), []
+    send = ConnectionPool(deployment(settings()), open_txns, answer_sender, 4)
     send.route = Events()
-    outlet = SimpleNamespace(answer=lambda *about: seen.append((relay.done(), dict(open_txns.by_id))))
+    outlet = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.done(), dict(open_txns.by_id))))
     open_txns.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, outlet, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
     send.answered(hop, resp.reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
-    assert seen == [(False, {})] and relay.done()
+    assert seen == [(False, {})] and answer_sender.done()
 
 
 def test_a_withdrawn_txn_is_not_answered_and_the_book_gives_each_away_once():
@@ -643,7 +643,7 @@
     route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
-    admit, outlet = Admission(route.site, route.open_txns, route, 1000), Outlet(here, encode, route.relay)
+    admit, outlet = Admission(route.site, route.open_txns, route, 1000), Outlet(here, encode, route.answer_sender)
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
     route.lock.acquire()  # another thread is at it, and does not get on
     admit.request(request, outlet, 0)
@@ -659,10 +659,10 @@
     quiet = Listener()
     here, there = socket.socketpair()
     send = sender(quiet.address)
-    route = RouterHost(send.site, 1, send.open_txns, send.relay, send)
+    route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
     row = ListedServer("c0", send.servers["c0"].address, "east", "std", 0, "up", 50.0, 0)
     route.list_told(ListChange(True, (row,)), now=True)
-    outlet = Outlet(here, encode, route.relay)
+    outlet = Outlet(here, encode, route.answer_sender)
     outlet.streams[1] = 1
     now = clock()
     route.open_txns.take(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, outlet, 1))
@@ -710,8 +710,8 @@
 def test_a_connection_that_was_idle_is_not_closed_over_a_request_that_lies_unread():
     """Found by the laboratory's herd: a router stopped for 6 s closed connections as idle before their readers had a turn; what a
     client had sent meanwhile was never answered."""
-    open_txns, relay = OpenTxns(), AnswerSender(1 << 20)
-    takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, open_txns, None, relay)
+    open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
+    takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, open_txns, None, answer_sender)
     here, there = socket.socketpair()
     client = ClientConnection(takein, here)
     takein.clients.add(client)
