--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -11,7 +11,7 @@
 from fieldspur.net import frames
 from fieldspur.net.admission import Admission
 from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, ArrivalTimes
-from fieldspur.net.client_writer import TICK, AnswerSender, Outlet
+from fieldspur.net.client_writer import TICK, AnswerSender, ClientWriter
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, bytes_received, receive_poll
@@ -73,7 +73,7 @@
 
     def __init__(self, takein: ClientListener, sock: socket.socket):
         self.takein, self.sock = takein, sock
-        self.outlet = Outlet(sock, encode, takein.answer_sender)
+        self.outlet = ClientWriter(sock, encode, takein.answer_sender)
         self.outlet.freed = self.free
         self.used = UsedStreams()
         self.since = time.monotonic()  # its accept, or when its unfinished frame began, or it could not be read
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -32,7 +32,7 @@
     behind: int
 
 
-class Outlet:
+class ClientWriter:
     """The writing side of one client's connection; `encode` turns an answer into its protocol's bytes."""
 
     def __init__(self, sock: socket.socket, encode, answer_sender: AnswerSender):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -30,7 +30,7 @@
 from fieldspur.decide import MS, SECOND
 from fieldspur.net import resp
 from fieldspur.net.client_listener import ClientListener, encode
-from fieldspur.net.client_writer import LEFT, UNREAD, AnswerSender, Outlet
+from fieldspur.net.client_writer import LEFT, UNREAD, AnswerSender, ClientWriter
 from fieldspur.net.connection_pool import LOOK_CLIENT
 from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
@@ -71,7 +71,7 @@
 def stays(send):
     """The outlet of a client that stays."""
     here, there = pair()
-    outlet = Outlet(here, encode, send.answer_sender)
+    outlet = ClientWriter(here, encode, send.answer_sender)
     outlet.there = there
     return outlet
 
@@ -83,7 +83,7 @@
     """The reader takes the txn out of the book; the Router learns of it later, and the hop may be at its connection by then."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    hop = taken(send, Outlet(here, encode, send.answer_sender))
+    hop = taken(send, ClientWriter(here, encode, send.answer_sender))
     send.open_txns.withdraw(5)
     send.hop(hop).pump()
     assert [about[:2] for about in until(lambda: send.route.posted)] == [(hop, "unsent")] and not hop.written and not cache.wants
@@ -95,7 +95,7 @@
     """A txn that has waited, at the gate, behind a leader, for a dial or its turn to retry; its reader has not had the core since."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    hop = taken(send, Outlet(here, encode, send.answer_sender), before_ms=50)
+    hop = taken(send, ClientWriter(here, encode, send.answer_sender), before_ms=50)
     if leaves == "resets":
         there.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     if leaves == "closes behind bytes":
@@ -115,7 +115,7 @@
     """A cancel that is there already: the reader takes it while the attempt waits, and the attempt is not begun."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    outlet = Outlet(here, encode, send.answer_sender)
+    outlet = ClientWriter(here, encode, send.answer_sender)
     hop = taken(send, outlet, before_ms=50)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
     lane = send.hop(hop)
@@ -135,7 +135,7 @@
     """Found in the laboratory: a writer that waited for each such reader left all others' hops waiting behind it."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    outlet = Outlet(here, encode, send.answer_sender)
+    outlet = ClientWriter(here, encode, send.answer_sender)
     hop, other = taken(send, outlet, before_ms=50), taken(send, stays(send), ident=6, before_ms=50)
     there.sendall(b"more and more")
     lane = send.hop(hop)
@@ -217,7 +217,7 @@
     """The process was stopped, or had no core: server's answer, client's cancel and time limit have all come."""
     here, there = pair()
     answer_sender = AnswerSender(1 << 20)
-    outlet = Outlet(here, encode, answer_sender)
+    outlet = ClientWriter(here, encode, answer_sender)
     txn = Txn(5, "%016x" % 5, 0, "media", "a" * 16, 0, 1, 1.0, None, None, b"", 0, clock() - 100 * MS, outlet, 1)
     assert outlet.open(1, 5)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
@@ -419,7 +419,7 @@
 def test_a_reader_that_ends_as_the_writer_has_just_ended_frees_the_descriptor_once():
     """The reader's end comes between the writer's last look, when nothing waited and nothing had ended, and its return."""
     here, there = pair()
-    outlet, freed = Outlet(here, encode, AnswerSender(1 << 20)), []
+    outlet, freed = ClientWriter(here, encode, AnswerSender(1 << 20)), []
     outlet.freed = lambda: freed.append(here.fileno())
 
     class Lock:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -22,7 +22,7 @@
 from fieldspur.net import frames, nonblocking, resp
 from fieldspur.net import invariants as holding
 from fieldspur.net.client_listener import encode
-from fieldspur.net.client_writer import AnswerSender, Outlet
+from fieldspur.net.client_writer import AnswerSender, ClientWriter
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
@@ -243,7 +243,7 @@
     lane = go(send, Hop(99, 0, "f" * 16, "c0", None, want("f" * 16), clock()))
     pairs, outlets = [socket.socketpair() for _ in range(2)], []
     for here, _ in pairs:
-        outlets.append(Outlet(here, encode, send.answer_sender))
+        outlets.append(ClientWriter(here, encode, send.answer_sender))
     data, at = b"", clock()
     for n in range(6):
         name = f"{n + 1:016x}"
@@ -251,19 +251,19 @@
         send.open_txns.take(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, outlets[n % 2], n + 1))
         go(send, Hop(n + 1, 0, name, "c0", None, want(name), at))
         data += resp.array(name.encode(), b"ACK", b"entity=e,issued=1", b"body-%d" % n)
-    seen, put = [], Outlet.uncork
+    seen, put = [], ClientWriter.uncork
 
     def look(self):
         seen.append((len(self.corked), self.shut_if_idle(), send.answer_sender.done()))
         put(self)
 
-    Outlet.uncork, decoder = look, resp.Decoder()
+    ClientWriter.uncork, decoder = look, resp.Decoder()
     try:
         room = decoder.window.room()
         room[: len(data)] = data
         lane.replies(decoder, len(data))
     finally:
-        Outlet.uncork = put
+        ClientWriter.uncork = put
     assert seen == [(3, False, False)] * 2 and send.answer_sender.done() and len(send.route.posted) == 6
     for n, (_, there) in enumerate(pairs):
         there.setblocking(False)
@@ -445,7 +445,7 @@
 def test_a_txn_given_up_inside_the_call_that_started_it_is_answered_by_that_thread_at_once():
     route = plain_route()
     here, there = socket.socketpair()
-    outlet = Outlet(here, encode, route.answer_sender)
+    outlet = ClientWriter(here, encode, route.answer_sender)
     outlet.open(1, 1)
     at = clock()
     route.open_txns.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, outlet, 1))
@@ -475,8 +475,8 @@
 
 PLANTS = {
     "": "",
-    "copies_to_a_quick_client": "from fieldspur.net.client_writer import Outlet\nput = Outlet.put\n"
-    "Outlet.put = lambda self, data: put(self, (b''.join(data),))\n",
+    "copies_to_a_quick_client": "from fieldspur.net.client_writer import ClientWriter\nput = ClientWriter.put\n"
+    "ClientWriter.put = lambda self, data: put(self, (b''.join(data),))\n",
     "threads": "import queue, threading\nfrom fieldspur.net.router_host import RouterHost\npost, line = RouterHost.post, queue.Queue()\n"
     "RouterHost.post = lambda self, *about: line.put((self, about))\n"
     "def run():\n    while True:\n        self, about = line.get()\n        post(self, *about)\n"
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -17,7 +17,7 @@
 from fieldspur.net import resp
 from fieldspur.net.admission import Admission
 from fieldspur.net.client_listener import ClientConnection, ClientListener, encode
-from fieldspur.net.client_writer import AnswerSender, Outlet
+from fieldspur.net.client_writer import AnswerSender, ClientWriter
 from fieldspur.net.connection_pool import ConnectionPool
 from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, ListedServer
 from fieldspur.net.frames import Request
@@ -586,7 +586,7 @@
 def test_answers_that_no_memory_is_left_for_fail_and_say_so():
     here, there = socket.socketpair()
     answer_sender = AnswerSender(most_held=1000)
-    outlet = Outlet(here, encode, answer_sender)
+    outlet = ClientWriter(here, encode, answer_sender)
     outlet.streams[1] = 5
     assert outlet.answer(1, Answer("completed", body=b"x" * 2000))
     assert there.recv(100) == b"".join(encode(1, Answer("aborted"))) and answer_sender.too_much == 1
@@ -631,7 +631,7 @@
 
 def test_bodies_that_no_memory_is_left_for_are_refused_at_once():
     here, there = socket.socketpair()
-    site, outlet = deployment(settings()), Outlet(here, encode, AnswerSender(1 << 20))
+    site, outlet = deployment(settings()), ClientWriter(here, encode, AnswerSender(1 << 20))
     admit = Admission(site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
     for stream in (1, 2):
         admit.request(Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), outlet, clock())
@@ -643,7 +643,7 @@
     route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
-    admit, outlet = Admission(route.site, route.open_txns, route, 1000), Outlet(here, encode, route.answer_sender)
+    admit, outlet = Admission(route.site, route.open_txns, route, 1000), ClientWriter(here, encode, route.answer_sender)
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
     route.lock.acquire()  # another thread is at it, and does not get on
     admit.request(request, outlet, 0)
@@ -662,7 +662,7 @@
     route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
     row = ListedServer("c0", send.servers["c0"].address, "east", "std", 0, "up", 50.0, 0)
     route.list_told(ListChange(True, (row,)), now=True)
-    outlet = Outlet(here, encode, route.answer_sender)
+    outlet = ClientWriter(here, encode, route.answer_sender)
     outlet.streams[1] = 1
     now = clock()
     route.open_txns.take(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, outlet, 1))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,8 +13,8 @@
 PLANTED = {  # by the invariant that has to find it
     "deadline": "from fieldspur.net import resp\nwant = resp.want\n"
     "def late(one):\n    one.limit_ms += 400\n    return want(one)\nresp.want = late\n",
-    "final_answer": "from fieldspur.net.client_writer import Outlet\nanswer = Outlet.answer\n"
-    "Outlet.answer = lambda self, stream, *about, **more: stream % 7 and answer(self, stream, *about, **more)\n",
+    "final_answer": "from fieldspur.net.client_writer import ClientWriter\nanswer = ClientWriter.answer\n"
+    "ClientWriter.answer = lambda self, stream, *about, **more: stream % 7 and answer(self, stream, *about, **more)\n",
 }
 START = "import sys\nfrom fieldspur.__main__ import main\nsys.exit(main())\n"
 
