--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -27,7 +27,7 @@
         self.limits = [rule.limit for rule in site.rules]
         self.rules = {name: (at, site.rules[at].kind == "keyed") for at, name in enumerate(site.rule_names)}
 
-    def request(self, request: Request | Unusable, outlet: ClientWriter, now: int) -> bool:
+    def request(self, request: Request | Unusable, client_writer: ClientWriter, now: int) -> bool:
         """Exactly one answer follows on the request's stream, unless it is withdrawn. Whether it was of use."""
         if isinstance(request, Request):
             at, keyed = self.rules.get(request.rule, (-1, False))
@@ -43,12 +43,12 @@
         else:
             at, why = -1, request.why
         ident = next(self.open_txns.idents)
-        if not outlet.open(request.stream, ident):
+        if not client_writer.open(request.stream, ident):
             return False
         if why:
             self.open_txns.count("unusable")
             log.warning("unusable", extra={"kv": {"why": why}})
-            outlet.answer(request.stream, Answer("aborted"))
+            client_writer.answer(request.stream, Answer("aborted"))
             return False
         limit = min(request.limit, self.limits[at])  # nobody may hold a place here for longer
         txn = Txn(
@@ -65,7 +65,7 @@
             request.body,
             now,
             min(now + limit - SLACK // 2 - self.route.behind, self.ends_at),
-            outlet,
+            client_writer,
             request.stream,
         )
         refusal = take_refusal(
@@ -79,7 +79,7 @@
         if refusal is not None:
             self.open_txns.count("full")
             self.refused.add(refusal)
-            outlet.answer(request.stream, Answer("rejected", self.come_back_ms))
+            client_writer.answer(request.stream, Answer("rejected", self.come_back_ms))
             return True
         self.open_txns.take(txn)
         self.route.post(self.route.arrived, txn)
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -73,8 +73,8 @@
 
     def __init__(self, takein: ClientListener, sock: socket.socket):
         self.takein, self.sock = takein, sock
-        self.outlet = ClientWriter(sock, encode, takein.answer_sender)
-        self.outlet.freed = self.free
+        self.client_writer = ClientWriter(sock, encode, takein.answer_sender)
+        self.client_writer.freed = self.free
         self.used = UsedStreams()
         self.since = time.monotonic()  # its accept, or when its unfinished frame began, or it could not be read
         self.held = 0  # bytes of an unfinished frame
@@ -86,13 +86,13 @@
         window, arrivals = decoder.window, ArrivalTimes(self.sock, self.takein.answer_sender)
         looks = receive_poll(self.sock).poll
         try:
-            while size := self.sock.recv_into(window.view if self.failed or self.outlet.shut_at else window.room()):
-                if self.failed or self.outlet.shut_at:  # only to see its end, or what it was told might be lost in a reset
-                    self.outlet.worked_off += size
+            while size := self.sock.recv_into(window.view if self.failed or self.client_writer.shut_at else window.room()):
+                if self.failed or self.client_writer.shut_at:  # only to see its end, or what it was told might be lost in a reset
+                    self.client_writer.worked_off += size
                     after += size
-                    if after > MOST_AFTER and not self.outlet.streams:
+                    if after > MOST_AFTER and not self.client_writer.streams:
                         break
-                    self.outlet.read_off()
+                    self.client_writer.read_off()
                     continue
                 if (found := looks(0)) and found[0][1] & PEER_CLOSED:
                     break  # nobody waits for what it sent; guards against attempts begun for thousands that send and go
@@ -119,15 +119,15 @@
                 except frames.BadFrame as bad:
                     self.fail(str(bad))
                 finally:
-                    self.outlet.worked_off += size
+                    self.client_writer.worked_off += size
                     # What lies behind may take back what was just read; guards against an attempt begun for what is cancelled
                     # already. A few reads, for others wait meanwhile.
                     behind = behind + 1 if found and taken and behind < MOST_BEHIND and not self.failed else 0
                     if not behind:
                         taken = False
                         self.takein.route.handle()
-                        if self.outlet.asked:
-                            self.outlet.read_off()
+                        if self.client_writer.asked:
+                            self.client_writer.read_off()
         except OSError:
             pass  # reset: as if it had closed
         except Exception:
@@ -135,10 +135,10 @@
         self.hold(0)
         self.takein.ended(self)
         self.takein.route.handle()
-        self.outlet.read_off()
+        self.client_writer.read_off()
 
     def free(self) -> None:
-        self.outlet.freed = None  # else each holds the other until the collector looks, which is rare
+        self.client_writer.freed = None  # else each holds the other until the collector looks, which is rare
         self.takein.freed(self)
 
     def hold(self, size: int) -> None:
@@ -152,25 +152,25 @@
         self.hold(0)
         self.failed, self.since = True, time.monotonic()
         log.warning("unreadable", extra={"kv": {"why": why}})
-        self.outlet.write(frames.unreadable())
-        self.outlet.close_when_done()
+        self.client_writer.write(frames.unreadable())
+        self.client_writer.close_when_done()
 
     def took(self, value, now: int) -> None:
         """An unforeseen error over what came costs this connection: the request that it was about is answered, nothing further is read, and
         what else is owed still comes."""
         try:
             if isinstance(value, frames.Withdrawn):
-                ident = self.outlet.streams.pop(value.stream, None)
+                ident = self.client_writer.streams.pop(value.stream, None)
                 if ident is not None:
                     self.takein.withdraw(ident)
             elif isinstance(value, frames.ReadyAsked):
-                self.outlet.write(frames.ready(value.stream, self.takein.ready))
+                self.client_writer.write(frames.ready(value.stream, self.takein.ready))
             elif not self.used.new(value.stream):
                 raise frames.BadFrame("stream used again")
-            elif len(self.outlet.streams) >= MOST_STREAMS:
-                self.outlet.write(encode(value.stream, Answer("rejected", self.takein.admit.come_back_ms)))
+            elif len(self.client_writer.streams) >= MOST_STREAMS:
+                self.client_writer.write(encode(value.stream, Answer("rejected", self.takein.admit.come_back_ms)))
             else:
-                self.proved |= self.takein.admit.request(value, self.outlet, now)
+                self.proved |= self.takein.admit.request(value, self.client_writer, now)
         except frames.BadFrame:
             raise
         except Exception:
@@ -179,29 +179,36 @@
 
     def fail_over(self, stream: int) -> None:
         """An error came over what the client sent on that stream: a request there that is in no list of open ones is answered here."""
-        ident = self.outlet.streams.get(stream)
+        ident = self.client_writer.streams.get(stream)
         if ident is not None and ident not in self.takein.open_txns.by_id:
-            self.outlet.answer(stream, Answer("aborted"))
+            self.client_writer.answer(stream, Answer("aborted"))
         self.fail("internal error")
 
     def unread(self) -> bool:
         """Guards against a process that was stopped: what came meanwhile lies unread, and the look at idle connections may have its
         turn before their readers. A request there is owed its answer."""
-        with self.outlet.lock:  # its descriptor is closed under it
-            return not self.outlet.ended and any(event == select.POLLIN for _, event in receive_poll(self.sock).poll(0))
+        with self.client_writer.lock:  # its descriptor is closed under it
+            return not self.client_writer.ended and any(event == select.POLLIN for _, event in receive_poll(self.sock).poll(0))
 
     def in_hand(self) -> bool:
         """Whether its reader has read bytes that it has not worked off, as far as the system tells: a request among them is owed its
         answer, and would not be taken once this side is shut."""
-        with self.outlet.lock:
-            return not self.outlet.ended and (bytes_received(self.sock) or 0) > self.outlet.worked_off
+        with self.client_writer.lock:
+            return not self.client_writer.ended and (bytes_received(self.sock) or 0) > self.client_writer.worked_off
 
     def overdue(self, now: float) -> CloseReason | None:
         """Why it is to be closed now, if it is."""
-        outlet = self.outlet
+        client_writer = self.client_writer
         return close_reason(
             ClientState(
-                outlet.shut_at, bool(outlet.streams), outlet.writing, self.failed, self.held, self.since, outlet.idle_since, self.proved
+                client_writer.shut_at,
+                bool(client_writer.streams),
+                client_writer.writing,
+                self.failed,
+                self.held,
+                self.since,
+                client_writer.idle_since,
+                self.proved,
             ),
             now,
             self.takein.gone_after_ms / 1e3,
@@ -287,19 +294,19 @@
             why = client.overdue(now)
             if why and not (why in (CloseReason.IDLE, CloseReason.HALF_FRAME) and client.unread()):
                 self.closing_for(client, why)
-                if client.outlet.shut_at:
-                    client.outlet.cut_off()
-                elif client.outlet.streams:
+                if client.client_writer.shut_at:
+                    client.client_writer.cut_off()
+                elif client.client_writer.streams:
                     client.fail(why)
-                elif client.outlet.writing:
-                    client.outlet.cut_off()
+                elif client.client_writer.writing:
+                    client.client_writer.cut_off()
                 else:
-                    client.outlet.shut_if_idle()
+                    client.client_writer.shut_if_idle()
 
     def closing_for(self, client: ClientConnection, why: CloseReason) -> None:
         """Counts and logs why a client's connection is shut or cut off."""
         self.closed_for.add(why)
-        log.info("closed", extra={"kv": {"why": why.value, "open": len(client.outlet.streams), "held": client.held}})
+        log.info("closed", extra={"kv": {"why": why.value, "open": len(client.client_writer.streams), "held": client.held}})
 
     def make_room(self, none: bool = False) -> bool:
         """Whether there is a descriptor for one more. Each counts until it is free: beyond `most_clients` there are `spare` for
@@ -308,19 +315,20 @@
         first is cut off and its descriptor waited for, a moment at most; so it is where the system has `none` left, whoever took them."""
         with self.lock:
             for client in sorted(
-                (c for c in self.clients if not c.outlet.streams and not c.outlet.shut_at), key=lambda c: (c.proved, c.outlet.idle_since)
+                (c for c in self.clients if not c.client_writer.streams and not c.client_writer.shut_at),
+                key=lambda c: (c.proved, c.client_writer.idle_since),
             ):
-                if not client.unread() and client.outlet.shut_if_idle():
+                if not client.unread() and client.client_writer.shut_if_idle():
                     self.closing_for(client, CloseReason.DESCRIPTORS)
                     break
-            shut = sorted((c for c in self.clients if c.outlet.shut_at), key=lambda c: c.outlet.shut_at)
+            shut = sorted((c for c in self.clients if c.client_writer.shut_at), key=lambda c: c.client_writer.shut_at)
             most = len(self.clients) if none else self.most_clients + self.spare
             if not shut or len(self.clients) < most:
                 return bool(shut)
             if none:
-                shut = [client for client in shut if may_cut(client.outlet.shut_at, time.monotonic())]
+                shut = [client for client in shut if may_cut(client.client_writer.shut_at, time.monotonic())]
             for client in shut[: 1 + len(shut) // 2]:
-                client.outlet.cut_off()
+                client.client_writer.cut_off()
             return self.room.wait_for(lambda: len(self.clients) < most, ROOM_WAIT)
 
     def hold(self, client: ClientConnection, size: int) -> None:
@@ -332,10 +340,10 @@
         if most is not None:
             log.warning("frames_full", extra={"kv": {"bytes": self.bytes}})
             self.closing_for(most, CloseReason.FRAME_MEMORY)
-            if most.outlet.streams:
+            if most.client_writer.streams:
                 most.fail(CloseReason.FRAME_MEMORY.value)  # nothing further is read of it, and what it is owed still comes
             else:
-                most.outlet.cut_off()
+                most.client_writer.cut_off()
 
     def withdraw(self, ident: int, left: bool = False) -> None:
         if self.open_txns.withdraw(ident, left):
@@ -347,8 +355,8 @@
             self.room.notify()
 
     def ended(self, client: ClientConnection) -> None:
-        client.outlet.end()
-        for ident in list(client.outlet.streams.values()):
+        client.client_writer.end()
+        for ident in list(client.client_writer.streams.values()):
             self.withdraw(ident, left=True)
 
     def ending(self) -> None:
@@ -357,7 +365,7 @@
             self.ready, self.over = False, True
             clients = list(self.clients)
         for client in clients:
-            client.outlet.write(frames.no_more())
+            client.client_writer.write(frames.no_more())
 
     def open(self) -> bool:
         """The router is ready from now on; false where its end has begun."""
@@ -401,5 +409,5 @@
             clients = list(self.clients)
         for client in clients:
             if late or not (client.held or client.unread() or client.in_hand()):
-                client.outlet.close_when_done()
-        return all(client.outlet.shut_at for client in clients)
+                client.client_writer.close_when_done()
+        return all(client.client_writer.shut_at for client in clients)
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -277,11 +277,11 @@
         if now - self.ticked > TICK_LATE:
             self.careful_until = now + CAREFUL
         try:
-            if not txn.outlet.answer(txn.stream, answer, cork, now > txn.limit_at or now < self.careful_until):
+            if not txn.client_writer.answer(txn.stream, answer, cork, now > txn.limit_at or now < self.careful_until):
                 return
         except Exception:
             contained_errors.record("answer", txn=txn.ident)
-            return txn.outlet.cut_off()
+            return txn.client_writer.cut_off()
         if now - txn.limit_at > OVERDUE:
             log.warning(
                 "overdue",
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -34,7 +34,7 @@
     body: bytes
     taken: int
     limit_at: int
-    outlet: object  # where its answer goes
+    client_writer: object  # where its answer goes
     stream: int
     hops: int = 0
 
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -474,8 +474,8 @@
                 else:
                     send.answered(hop, reply, now)
         finally:
-            for outlet in cork:
-                outlet.uncork()
+            for client_writer in cork:
+                client_writer.uncork()
             send.answer_sender.owing.discard((0, id(self)))
             send.route.handle()
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -46,14 +46,29 @@
         return listener.accept()[0], there
 
 
-def taken(send, outlet, ident=5, stream=1, before_ms=0, rule="media"):
+def taken(send, client_writer, ident=5, stream=1, before_ms=0, rule="media"):
     """A txn in the book, taken so long ago, and a hop of it that is not written yet."""
     now = clock()
     txn = Txn(
-        ident, f"{ident:016x}", 0, rule, "a" * 16, 0, 1, 1.0, None, None, b"", now - before_ms * MS, now + 3000 * MS, outlet, stream, 1
+        ident,
+        f"{ident:016x}",
+        0,
+        rule,
+        "a" * 16,
+        0,
+        1,
+        1.0,
+        None,
+        None,
+        b"",
+        now - before_ms * MS,
+        now + 3000 * MS,
+        client_writer,
+        stream,
+        1,
     )
     send.open_txns.take(txn)
-    assert outlet.open(stream, ident)
+    assert client_writer.open(stream, ident)
     want = resp.Want(txn.name, rule, txn.obj, 0, 3000, None, None, 0, 0, False, False, True, None, b"")
     return Hop(ident, 0, txn.name, "c0", None, want, now)
 
@@ -71,9 +86,9 @@
 def stays(send):
     """The outlet of a client that stays."""
     here, there = pair()
-    outlet = ClientWriter(here, encode, send.answer_sender)
-    outlet.there = there
-    return outlet
+    client_writer = ClientWriter(here, encode, send.answer_sender)
+    client_writer.there = there
+    return client_writer
 
 
 # Clients that leave.
@@ -115,19 +130,19 @@
     """A cancel that is there already: the reader takes it while the attempt waits, and the attempt is not begun."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    outlet = ClientWriter(here, encode, send.answer_sender)
-    hop = taken(send, outlet, before_ms=50)
+    client_writer = ClientWriter(here, encode, send.answer_sender)
+    hop = taken(send, client_writer, before_ms=50)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
     lane = send.hop(hop)
     until(lambda: lane.ready)
     lane.pump()
     assert not hop.written and not send.route.posted and lane.open
-    outlet.read_off()
-    assert outlet.hops == [hop]  # its reader has worked off something, but not read on
-    outlet.worked_off += len(here.recv(100))  # its reader has its turn
+    client_writer.read_off()
+    assert client_writer.hops == [hop]  # its reader has worked off something, but not read on
+    client_writer.worked_off += len(here.recv(100))  # its reader has its turn
     send.open_txns.withdraw(5)
-    outlet.read_off()
-    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not cache.wants and not outlet.hops
+    client_writer.read_off()
+    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not cache.wants and not client_writer.hops
     here.close(), there.close()
 
 
@@ -135,8 +150,8 @@
     """Found in the laboratory: a writer that waited for each such reader left all others' hops waiting behind it."""
     cache, (here, there) = Cache(), pair()
     send = sender(cache.address, open_txns=OpenTxns())
-    outlet = ClientWriter(here, encode, send.answer_sender)
-    hop, other = taken(send, outlet, before_ms=50), taken(send, stays(send), ident=6, before_ms=50)
+    client_writer = ClientWriter(here, encode, send.answer_sender)
+    hop, other = taken(send, client_writer, before_ms=50), taken(send, stays(send), ident=6, before_ms=50)
     there.sendall(b"more and more")
     lane = send.hop(hop)
     until(lambda: lane.ready)
@@ -145,11 +160,11 @@
     until(lambda: cache.wants)
     assert other.written and not hop.written
     there.sendall(b"and on")
-    outlet.worked_off += len(here.recv(4))
-    outlet.read_off()
+    client_writer.worked_off += len(here.recv(4))
+    client_writer.read_off()
     assert not hop.written
-    outlet.worked_off += len(here.recv(9))  # all that lay there at the look; the rest came since
-    outlet.read_off()
+    client_writer.worked_off += len(here.recv(9))  # all that lay there at the look; the rest came since
+    client_writer.read_off()
     until(lambda: len(cache.wants) == 2)
     assert hop.written
     here.close(), there.close()
@@ -181,7 +196,7 @@
     takein = entered()
     there = joins(takein)
     client = next(iter(takein.clients))
-    looker = threading.Thread(target=client.outlet.look, args=(SimpleNamespace(waited=False),), name="looker")
+    looker = threading.Thread(target=client.client_writer.look, args=(SimpleNamespace(waited=False),), name="looker")
     looker.start()
     assert looking.wait(10)
     there.sock.sendall(b"\0\0\0")  # half a frame: nothing in it waits for the look's lock
@@ -204,9 +219,9 @@
             time.sleep(0.1)  # longer than a reader takes back to its wait; what holds does not lean on it
             return [(client.sock.fileno(), select.POLLIN)]
 
-    monkeypatch.setattr(client.outlet, "looks", Found())
+    monkeypatch.setattr(client.client_writer, "looks", Found())
     hop = SimpleNamespace(waited=False, lane=SimpleNamespace(again=again.append))
-    assert client.outlet.look(hop) == UNREAD
+    assert client.client_writer.look(hop) == UNREAD
     until(lambda: again == [hop], limit=2)
     takein.listener.close()
 
@@ -217,23 +232,23 @@
     """The process was stopped, or had no core: server's answer, client's cancel and time limit have all come."""
     here, there = pair()
     answer_sender = AnswerSender(1 << 20)
-    outlet = ClientWriter(here, encode, answer_sender)
-    txn = Txn(5, "%016x" % 5, 0, "media", "a" * 16, 0, 1, 1.0, None, None, b"", 0, clock() - 100 * MS, outlet, 1)
-    assert outlet.open(1, 5)
+    client_writer = ClientWriter(here, encode, answer_sender)
+    txn = Txn(5, "%016x" % 5, 0, "media", "a" * 16, 0, 1, 1.0, None, None, b"", 0, clock() - 100 * MS, client_writer, 1)
+    assert client_writer.open(1, 5)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
     select.select([here], [], [])
     if lies == "in its reader's hand":
         here.recv(100)
     answer_sender.answer(txn, Answer("completed", body=memoryview(b"x" * 70_000)))
-    assert not select.select([there], [], [], 0)[0] and answer_sender.held > 70_000 and outlet.streams
-    outlet.worked_off += 9  # its reader has its turn
+    assert not select.select([there], [], [], 0)[0] and answer_sender.held > 70_000 and client_writer.streams
+    client_writer.worked_off += 9  # its reader has its turn
     if lies == "unread":
         here.recv(100)
     if unread == "its cancel":
-        del outlet.streams[1]
-    outlet.read_off()
+        del client_writer.streams[1]
+    client_writer.read_off()
     assert bool(select.select([there], [], [], 0)[0]) == (unread != "its cancel")
-    assert not answer_sender.held and not outlet.streams and not outlet.late
+    assert not answer_sender.held and not client_writer.streams and not client_writer.late
     here.close(), there.close()
 
 
@@ -349,7 +364,7 @@
     open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
     route = SimpleNamespace(gather=lambda: None, handle=lambda: None, post=lambda *about: None, withdrawn=None)
     admit = SimpleNamespace(taken=[], come_back_ms=0)
-    admit.request = lambda request, outlet, now: outlet.open(request.stream, 7) and not admit.taken.append(request.stream)
+    admit.request = lambda request, client_writer, now: client_writer.open(request.stream, 7) and not admit.taken.append(request.stream)
     return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, open_txns, route, answer_sender)
 
 
@@ -365,9 +380,9 @@
     takein = entered()
     there = joins(takein)
     client = next(iter(takein.clients))
-    client.outlet.open(1, 5)
-    assert client.outlet.answer(1, Answer("completed", body=b"late reader"))
-    assert not client.unread() and client.outlet.shut_if_idle()
+    client.client_writer.open(1, 5)
+    assert client.client_writer.answer(1, Answer("completed", body=b"late reader"))
+    assert not client.unread() and client.client_writer.shut_if_idle()
     there.ask(2)
     until(lambda: select.select([there.sock], [], [], 0)[0])
     time.sleep(0.02)  # so the request has come, and what its coming leads to
@@ -382,10 +397,10 @@
     takein = entered()
     there = joins(takein)
     client = next(iter(takein.clients))
-    assert client.outlet.shut_if_idle() and takein.clients
-    takein.look(client.outlet.shut_at + 0.4)
+    assert client.client_writer.shut_if_idle() and takein.clients
+    takein.look(client.client_writer.shut_at + 0.4)
     assert takein.clients
-    takein.look(client.outlet.shut_at + 0.6)
+    takein.look(client.client_writer.shut_at + 0.6)
     until(lambda: not takein.clients)
     assert there.get() is None
     takein.listener.close()
@@ -419,8 +434,8 @@
 def test_a_reader_that_ends_as_the_writer_has_just_ended_frees_the_descriptor_once():
     """The reader's end comes between the writer's last look, when nothing waited and nothing had ended, and its return."""
     here, there = pair()
-    outlet, freed = ClientWriter(here, encode, AnswerSender(1 << 20)), []
-    outlet.freed = lambda: freed.append(here.fileno())
+    client_writer, freed = ClientWriter(here, encode, AnswerSender(1 << 20)), []
+    client_writer.freed = lambda: freed.append(here.fileno())
 
     class Lock:
         def __init__(self):
@@ -431,12 +446,12 @@
 
         def __exit__(self, *about):
             self.real.release()
-            if not outlet.writing and not outlet.ended:
-                outlet.end()
+            if not client_writer.writing and not client_writer.ended:
+                client_writer.end()
 
-    outlet.waiting.append(b"x")
-    outlet.writing, outlet.lock = True, Lock()
-    outlet.drain()
+    client_writer.waiting.append(b"x")
+    client_writer.writing, client_writer.lock = True, Lock()
+    client_writer.drain()
     assert freed == [-1] and there.recv(9) == b"x"
     there.close()
 
@@ -445,9 +460,9 @@
     """The end is seen by who writes, and the reader takes the txn out of the book before that one can."""
     cache = Cache()
     send = sender(cache.address, open_txns=OpenTxns())
-    outlet = stays(send)
-    hop = taken(send, outlet, before_ms=50)
-    monkeypatch.setattr(outlet, "look", lambda hop: (send.open_txns.withdraw(5, left=True), LEFT)[1])
+    client_writer = stays(send)
+    hop = taken(send, client_writer, before_ms=50)
+    monkeypatch.setattr(client_writer, "look", lambda hop: (send.open_txns.withdraw(5, left=True), LEFT)[1])
     lane = send.hop(hop)
     until(lambda: lane.ready)
     lane.pump()
@@ -473,7 +488,7 @@
     both = [joins(takein), joins(takein)]
     for client in both:
         client.ask(1)
-    until(lambda: all(client.outlet.streams for client in takein.clients))
+    until(lambda: all(client.client_writer.streams for client in takein.clients))
     began = time.monotonic()
     assert joins(takein).get() is None and time.monotonic() - began < 0.5 and len(takein.clients) == len(both)
     takein.listener.close()
@@ -489,7 +504,7 @@
     takein.close()
     until(lambda: takein.admit.taken == [1])
     assert not takein.shut(late=False)  # it owes an answer
-    next(iter(takein.clients)).outlet.answer(1, Answer("completed", body=b"x"))
+    next(iter(takein.clients)).client_writer.answer(1, Answer("completed", body=b"x"))
     assert there.get()[1:3] == (1, 79) and there.get() is None and takein.shut(late=False)
 
 
@@ -499,8 +514,8 @@
     client = next(iter(takein.clients))
     there.sock.sendall(b"\0\0\0\5")
     until(lambda: client.held)
-    assert not takein.shut(late=False) and not client.outlet.shut_at
-    assert takein.shut(late=True) and client.outlet.shut_at and there.get() is None
+    assert not takein.shut(late=False) and not client.client_writer.shut_at
+    assert takein.shut(late=True) and client.client_writer.shut_at and there.get() is None
     takein.listener.close()
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -94,14 +94,14 @@
     send.hop(taken_with_limit(send, 3000)).pump()  # its connection comes up late
     until(lambda: cache.wants)
     other = taken_with_limit(send, 3000, ident=6, before_ms=50)
-    outlet = send.open_txns.by_id[6].outlet
-    outlet.there.sendall(b"half a frame")
-    until(lambda: receive_poll(outlet.sock).poll(0))
+    client_writer = send.open_txns.by_id[6].client_writer
+    client_writer.there.sendall(b"half a frame")
+    until(lambda: receive_poll(client_writer.sock).poll(0))
     send.hop(other).pump()  # it waits for its client's reader
     time.sleep(0.4)
-    assert outlet.hops == [other]
-    outlet.worked_off += len(outlet.sock.recv(100))
-    outlet.read_off()
+    assert client_writer.hops == [other]
+    client_writer.worked_off += len(client_writer.sock.recv(100))
+    client_writer.read_off()
     until(lambda: len(cache.wants) == 2)
     assert all(2300 <= int(want["limit"]) <= 3000 - 400 + 150 for want in cache.wants)
 
@@ -109,7 +109,9 @@
 def test_a_request_s_time_counts_from_when_it_came_and_not_from_when_its_reader_had_a_turn(run):
     """Found by the soak (seed 211): its reader waited 250 ms for word of the board, for others; so after a stop of the process."""
     takein, times = entered(), {}
-    takein.admit.request = lambda request, outlet, now: outlet.open(request.stream, 7) and not times.update({request.stream: now})
+    takein.admit.request = lambda request, client_writer, now: (
+        client_writer.open(request.stream, 7) and not times.update({request.stream: now})
+    )
     takein.route.handle = lambda: time.sleep(0.3) if len(times) == 1 else None
     there = joins(takein)
     there.ask(1)
@@ -151,22 +153,22 @@
     cache = Cache(lambda want: None)
     send = sender(cache.address)
     attempt = taken_with_limit(send, 3000, ident=6, before_ms=50)
-    outlet = send.open_txns.by_id[6].outlet
-    outlet.there.sendall(b"request")
-    until(lambda: receive_poll(outlet.sock).poll(0))
+    client_writer = send.open_txns.by_id[6].client_writer
+    client_writer.there.sendall(b"request")
+    until(lambda: receive_poll(client_writer.sock).poll(0))
     lane = send.hop(attempt)
     lane.pump()
-    until(lambda: outlet.hops == [attempt])
+    until(lambda: client_writer.hops == [attempt])
     time.sleep(0.15)  # its reader works for others meanwhile
-    outlet.there.sendall(b"cancel")
-    until(lambda: len(outlet.sock.recv(100, socket.MSG_PEEK)) == 13)
-    outlet.worked_off += len(outlet.sock.recv(7))
-    outlet.read_off()
-    assert outlet.hops == [attempt] and not attempt.written
-    outlet.worked_off += len(outlet.sock.recv(100))
+    client_writer.there.sendall(b"cancel")
+    until(lambda: len(client_writer.sock.recv(100, socket.MSG_PEEK)) == 13)
+    client_writer.worked_off += len(client_writer.sock.recv(7))
+    client_writer.read_off()
+    assert client_writer.hops == [attempt] and not attempt.written
+    client_writer.worked_off += len(client_writer.sock.recv(100))
     send.open_txns.by_id.pop(6)
     send.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
-    outlet.read_off()
+    client_writer.read_off()
     assert not attempt.written and not cache.wants and lane.ready
 
 
@@ -339,10 +341,10 @@
     there = joins(takein)
     there.ask(1)
     client = next(iter(takein.clients))
-    until(lambda: client.outlet.streams)
+    until(lambda: client.client_writer.streams)
     there.sock.sendall(b"\0\0\x27\x10A\0\0\0\2" + b"x" * 2000)  # the begin of 10 KB
     assert there.get()[:2] == (66, 0)  # an error that belongs to no request: what it began is not read on
-    client.outlet.answer(1, Answer("completed", body=b"x"))
+    client.client_writer.answer(1, Answer("completed", body=b"x"))
     assert there.get()[1:3] == (1, 79) and there.get() is None
     takein.close()
 
@@ -351,7 +353,7 @@
     """The threads that look are the sweep, the listener's and the main one: an error in any of them ends the program."""
     here, _there = socket.socketpair()
     client = ClientConnection(SimpleNamespace(answer_sender=AnswerSender(1 << 20), gone_after_ms=30_000, freed=lambda client: None), here)
-    client.sock = Closing(here, client.outlet.end)
+    client.sock = Closing(here, client.client_writer.end)
     assert client.unread() is False
     client.sock.ending.join()
     assert client.unread() is False and here.fileno() < 0
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -353,7 +353,7 @@
         return lanes
 
     send.hop = hop_out
-    outlet, streams, withdrawn = Taking(), {}, set()
+    client_writer, streams, withdrawn = Taking(), {}, set()
     rows = tuple(ListedServer(f"c{n}", ("127.0.0.1", 1), "east", "std", 0, "up", 500.0, 0) for n in range(3))
     route.list_told(ListChange(True, rows), now=True)
     count_of = 5_000
@@ -394,7 +394,7 @@
                 b"",
                 at,
                 at + 60_000 * MS,
-                outlet,
+                client_writer,
                 ident,
             )
             open_txns.take(txn)
@@ -445,10 +445,10 @@
 def test_a_txn_given_up_inside_the_call_that_started_it_is_answered_by_that_thread_at_once():
     route = plain_route()
     here, there = socket.socketpair()
-    outlet = ClientWriter(here, encode, route.answer_sender)
-    outlet.open(1, 1)
+    client_writer = ClientWriter(here, encode, route.answer_sender)
+    client_writer.open(1, 1)
     at = clock()
-    route.open_txns.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, outlet, 1))
+    route.open_txns.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, client_writer, 1))
     route.post(route.arrived, route.open_txns.by_id[1])  # no server is listed
     there.setblocking(False)
     assert there.recv(100)[9] == frames.REFUSED and route.answer_sender.done()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -450,10 +450,10 @@
     assert not client.overdue(begun + 1.9) and client.overdue(begun + 2.1) == "idle"
     client.proved = True
     assert not client.overdue(begun + 4.5) and client.overdue(begun + 5.1) == "idle"
-    client.outlet.open(1, 7)
-    assert not client.overdue(begun + 60) and not client.outlet.shut_if_idle()
-    client.outlet.streams.clear()
-    assert client.outlet.shut_if_idle() and not client.outlet.open(2, 8) and not client.outlet.streams
+    client.client_writer.open(1, 7)
+    assert not client.overdue(begun + 60) and not client.client_writer.shut_if_idle()
+    client.client_writer.streams.clear()
+    assert client.client_writer.shut_if_idle() and not client.client_writer.open(2, 8) and not client.client_writer.streams
 
 
 def test_bytes_of_unfinished_frames_are_bounded_in_sum(run):
@@ -586,11 +586,11 @@
 def test_answers_that_no_memory_is_left_for_fail_and_say_so():
     here, there = socket.socketpair()
     answer_sender = AnswerSender(most_held=1000)
-    outlet = ClientWriter(here, encode, answer_sender)
-    outlet.streams[1] = 5
-    assert outlet.answer(1, Answer("completed", body=b"x" * 2000))
+    client_writer = ClientWriter(here, encode, answer_sender)
+    client_writer.streams[1] = 5
+    assert client_writer.answer(1, Answer("completed", body=b"x" * 2000))
     assert there.recv(100) == b"".join(encode(1, Answer("aborted"))) and answer_sender.too_much == 1
-    assert not outlet.answer(1, Answer("aborted"))
+    assert not client_writer.answer(1, Answer("aborted"))
 
 
 def test_an_answer_is_owed_until_it_is_with_its_connection():
@@ -598,8 +598,8 @@
     answer_sender, open_txns, seen = AnswerSender(1 << 20), OpenTxns(), []
     send = ConnectionPool(deployment(settings()), open_txns, answer_sender, 4)
     send.route = Events()
-    outlet = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.done(), dict(open_txns.by_id))))
-    open_txns.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, outlet, 1))
+    client_writer = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.done(), dict(open_txns.by_id))))
+    open_txns.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, client_writer, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
     send.answered(hop, resp.reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
     assert seen == [(False, {})] and answer_sender.done()
@@ -631,11 +631,13 @@
 
 def test_bodies_that_no_memory_is_left_for_are_refused_at_once():
     here, there = socket.socketpair()
-    site, outlet = deployment(settings()), ClientWriter(here, encode, AnswerSender(1 << 20))
+    site, client_writer = deployment(settings()), ClientWriter(here, encode, AnswerSender(1 << 20))
     admit = Admission(site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
     for stream in (1, 2):
-        admit.request(Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), outlet, clock())
-    assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(outlet.streams) == [1]
+        admit.request(
+            Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), client_writer, clock()
+        )
+    assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(client_writer.streams) == [1]
 
 
 def test_a_router_that_runs_behind_takes_that_off_the_time_limit_and_then_refuses():
@@ -643,14 +645,14 @@
     route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.work()
-    admit, outlet = Admission(route.site, route.open_txns, route, 1000), ClientWriter(here, encode, route.answer_sender)
+    admit, client_writer = Admission(route.site, route.open_txns, route, 1000), ClientWriter(here, encode, route.answer_sender)
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
     route.lock.acquire()  # another thread is at it, and does not get on
-    admit.request(request, outlet, 0)
+    admit.request(request, client_writer, 0)
     assert 0.6e9 < route.open_txns.by_id[1].limit_at <= 0.675e9
     for _ in range(1000):
         route.post(lambda: None)
-    admit.request(replace(request, stream=2, txn="2" * 16), outlet, 0)
+    admit.request(replace(request, stream=2, txn="2" * 16), client_writer, 0)
     assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(route.open_txns.by_id) == [1]
 
 
@@ -662,10 +664,10 @@
     route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
     row = ListedServer("c0", send.servers["c0"].address, "east", "std", 0, "up", 50.0, 0)
     route.list_told(ListChange(True, (row,)), now=True)
-    outlet = ClientWriter(here, encode, route.answer_sender)
-    outlet.streams[1] = 1
+    client_writer = ClientWriter(here, encode, route.answer_sender)
+    client_writer.streams[1] = 1
     now = clock()
-    route.open_txns.take(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, outlet, 1))
+    route.open_txns.take(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, client_writer, 1))
     route.post(route.arrived, route.open_txns.by_id[1])
     (hop,) = route.hops.values()
     left = []
@@ -718,10 +720,10 @@
     client.proved, later = True, time.monotonic() + 60
     there.sendall(b"\0")
     takein.look(later)
-    assert not client.outlet.shut_at and not takein.make_room()
+    assert not client.client_writer.shut_at and not takein.make_room()
     here.recv(1)  # its reader has had its turn
     takein.look(later)
-    assert client.outlet.shut_at
+    assert client.client_writer.shut_at
     there.close()
     here.close()
     takein.listener.close()
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -94,8 +94,8 @@
     dialled = dials_wait(monkeypatch)
     for attempt in attempts:
         attempt.cut_at = clock() + 3000 * MS
-        outlet = send.open_txns.by_id[attempt.ident].outlet
-        monkeypatch.setattr(outlet, "look", slow_look(outlet.look, order))
+        client_writer = send.open_txns.by_id[attempt.ident].client_writer
+        monkeypatch.setattr(client_writer, "look", slow_look(client_writer.look, order))
         lane = send.hop(attempt)
     send.looked, send.board = 0, SimpleNamespace(caught_up=lambda: order.append("waits"))
     dialled.set()
