--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -69,7 +69,7 @@
             overlay = Overlay(self.route)
         self.board = self.send.board = DiscoveryClient(node.board, overlay or self.route, node.seed)
         self.board.begin(node.known, node.known_to)
-        self.takein = ClientListener(
+        self.client_listener = ClientListener(
             node.listen,
             node.sockets // 2,
             int(node.memory * share.frames),
@@ -101,8 +101,8 @@
         for name, run in (
             ("board", self.board.run),
             ("route", self.route.run),
-            ("takein", self.takein.run),
-            ("watch", self.takein.watch),
+            ("takein", self.client_listener.run),
+            ("watch", self.client_listener.watch),
             ("counts", self.tell),
         ):
             threading.stack_size(DEEP_STACK if name == "board" else STACK)
@@ -125,7 +125,7 @@
         self.route.post(self.route.open, "current" if told else "no word of the board")
         if self.talk is not None:
             self.talk.overlay.opened()
-        if self.takein.open():
+        if self.client_listener.open():
             log.info("ready", extra={"kv": {"name": self.node.name, "listen": "%s:%d" % self.node.listen}})
 
     def pauses(self, phase: str, _about: dict) -> None:
@@ -150,7 +150,7 @@
                 "kv": {
                     **self.open_txns.counts,
                     "open": len(self.open_txns.by_id),
-                    "clients": len(self.takein.clients),
+                    "clients": len(self.client_listener.clients),
                     "lanes": self.send.count(),
                     "threads": threading.active_count(),
                     "lag_ms": lag // MS,
@@ -175,11 +175,11 @@
         """How often something ended, was refused, given up or closed, by reason."""
         gave_up, attempts = self.route.router.gave_up, self.route.attempts
         counts = {f"attempts_{result}": attempts[result] for result in RESULTS if attempts[result]}
-        counts |= self.send.refused.log_fields("refused") | self.takein.admit.refused.log_fields("refused")
+        counts |= self.send.refused.log_fields("refused") | self.client_listener.admit.refused.log_fields("refused")
         # Over the enum, not the dict: the Router's thread adds to that meanwhile.
         counts |= {f"gave_up_{why.value}": gave_up[why] for why in GiveUp if why in gave_up}
         counts |= contained_errors.log_fields()
-        return counts | self.send.connection_ends.log_fields("connections") | self.takein.closed_for.log_fields("closed")
+        return counts | self.send.connection_ends.log_fields("connections") | self.client_listener.closed_for.log_fields("closed")
 
     def reload(self) -> None:
         """Read the files again. One that can't be used changes nothing, nor does what a running router keeps."""
@@ -209,21 +209,21 @@
         """Serve what still comes, answer all that was taken, then stop: once no connection is left open on which something could be
         taken, and nothing is owed. No look at what is open decides that, for a request may be read after it."""
         began = time.monotonic()
-        self.takein.ending()
+        self.client_listener.ending()
         time.sleep(STILL_COMING)
-        self.takein.close()
+        self.client_listener.close()
         killed_at = began + STILL_COMING + min(self.longest, KILLED_AFTER)
         left = min(self.longest, KILLED_AFTER) - BEFORE_IT
-        self.takein.admit.ends_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
+        self.client_listener.admit.ends_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
         while (took := time.monotonic() - began) < self.longest + STILL_COMING:
             late = took > STILL_COMING + left
             if late and self.open_txns.by_id:
                 self.route.post(self.route.time_is_up)
-            if may_exit(self.takein.shut(late), len(self.open_txns.by_id), not self.answer_sender.done()):
+            if may_exit(self.client_listener.shut(late), len(self.open_txns.by_id), not self.answer_sender.done()):
                 break
             time.sleep(0.01)
         parting_ends = min(time.monotonic() + PARTING, killed_at - LAST_MOMENT)
-        while self.takein.clients and time.monotonic() < parting_ends:
+        while self.client_listener.clients and time.monotonic() < parting_ends:
             time.sleep(0.01)
 
 
--- a/fieldspur/bench/count.py
+++ b/fieldspur/bench/count.py
@@ -57,13 +57,13 @@
 
     def connect(self, room: int) -> socket.socket:
         """A client's connection whose two sockets hold so much of an answer."""
-        sock, before = socket.socket(), set(self.service.takein.clients)
+        sock, before = socket.socket(), set(self.service.client_listener.clients)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, room)
         sock.settimeout(20)
         sock.connect(self.service.node.listen)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         end = time.monotonic() + 5
-        while not (new := set(self.service.takein.clients) - before):
+        while not (new := set(self.service.client_listener.clients) - before):
             if time.monotonic() > end:
                 raise BenchFailed("the router takes no connection")
             time.sleep(0.001)
@@ -80,7 +80,7 @@
         nonblocking.libc_send = self.raw
         threading.setprofile(None)
         self.sock.close()
-        self.service.takein.close()
+        self.service.client_listener.close()
         self.cache.kill()
         self.cache.wait()
         self.board.close()
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -71,9 +71,9 @@
 class ClientConnection:
     """One client's connection; its reader runs `read`."""
 
-    def __init__(self, takein: ClientListener, sock: socket.socket):
-        self.takein, self.sock = takein, sock
-        self.client_writer = ClientWriter(sock, encode, takein.answer_sender)
+    def __init__(self, client_listener: ClientListener, sock: socket.socket):
+        self.client_listener, self.sock = client_listener, sock
+        self.client_writer = ClientWriter(sock, encode, client_listener.answer_sender)
         self.client_writer.freed = self.free
         self.used = UsedStreams()
         self.since = time.monotonic()  # its accept, or when its unfinished frame began, or it could not be read
@@ -83,7 +83,7 @@
 
     def read(self) -> None:
         decoder, after, behind, taken = frames.Decoder(), 0, 0, False
-        window, arrivals = decoder.window, ArrivalTimes(self.sock, self.takein.answer_sender)
+        window, arrivals = decoder.window, ArrivalTimes(self.sock, self.client_listener.answer_sender)
         looks = receive_poll(self.sock).poll
         try:
             while size := self.sock.recv_into(window.view if self.failed or self.client_writer.shut_at else window.room()):
@@ -102,7 +102,7 @@
                 else:  # the same, without a call in the ordinary case
                     arrivals.read_at = arrivals.latest = now
                     arrivals.reads += 1
-                self.takein.route.gather()
+                self.client_listener.route.gather()
                 try:
                     for value in decoder.filled(size):
                         self.took(
@@ -125,7 +125,7 @@
                     behind = behind + 1 if found and taken and behind < MOST_BEHIND and not self.failed else 0
                     if not behind:
                         taken = False
-                        self.takein.route.handle()
+                        self.client_listener.route.handle()
                         if self.client_writer.asked:
                             self.client_writer.read_off()
         except OSError:
@@ -133,19 +133,19 @@
         except Exception:
             contained_errors.record("client")
         self.hold(0)
-        self.takein.ended(self)
-        self.takein.route.handle()
+        self.client_listener.ended(self)
+        self.client_listener.route.handle()
         self.client_writer.read_off()
 
     def free(self) -> None:
         self.client_writer.freed = None  # else each holds the other until the collector looks, which is rare
-        self.takein.freed(self)
+        self.client_listener.freed(self)
 
     def hold(self, size: int) -> None:
         if size and not self.held:
             self.since = time.monotonic()
         if size != self.held:
-            self.takein.hold(self, size)
+            self.client_listener.hold(self, size)
 
     def fail(self, why: str) -> None:
         """Nothing further is read of it; it is told, and closed once it has what it is owed."""
@@ -162,15 +162,15 @@
             if isinstance(value, frames.Withdrawn):
                 ident = self.client_writer.streams.pop(value.stream, None)
                 if ident is not None:
-                    self.takein.withdraw(ident)
+                    self.client_listener.withdraw(ident)
             elif isinstance(value, frames.ReadyAsked):
-                self.client_writer.write(frames.ready(value.stream, self.takein.ready))
+                self.client_writer.write(frames.ready(value.stream, self.client_listener.ready))
             elif not self.used.new(value.stream):
                 raise frames.BadFrame("stream used again")
             elif len(self.client_writer.streams) >= MOST_STREAMS:
-                self.client_writer.write(encode(value.stream, Answer("rejected", self.takein.admit.come_back_ms)))
+                self.client_writer.write(encode(value.stream, Answer("rejected", self.client_listener.admit.come_back_ms)))
             else:
-                self.proved |= self.takein.admit.request(value, self.client_writer, now)
+                self.proved |= self.client_listener.admit.request(value, self.client_writer, now)
         except frames.BadFrame:
             raise
         except Exception:
@@ -180,7 +180,7 @@
     def fail_over(self, stream: int) -> None:
         """An error came over what the client sent on that stream: a request there that is in no list of open ones is answered here."""
         ident = self.client_writer.streams.get(stream)
-        if ident is not None and ident not in self.takein.open_txns.by_id:
+        if ident is not None and ident not in self.client_listener.open_txns.by_id:
             self.client_writer.answer(stream, Answer("aborted"))
         self.fail("internal error")
 
@@ -211,7 +211,7 @@
                 self.proved,
             ),
             now,
-            self.takein.gone_after_ms / 1e3,
+            self.client_listener.gone_after_ms / 1e3,
         )
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -193,9 +193,9 @@
             return found
 
     monkeypatch.setattr(select, "poll", Poll)
-    takein = entered()
-    there = joins(takein)
-    client = next(iter(takein.clients))
+    client_listener = entered()
+    there = joins(client_listener)
+    client = next(iter(client_listener.clients))
     looker = threading.Thread(target=client.client_writer.look, args=(SimpleNamespace(waited=False),), name="looker")
     looker.start()
     assert looking.wait(10)
@@ -203,14 +203,14 @@
     until(lambda: client.held)
     go_on.set()
     looker.join()
-    takein.listener.close()
+    client_listener.listener.close()
 
 
 def test_an_attempt_put_by_in_the_moment_in_which_its_reader_has_worked_off_the_bytes_is_not_forgotten(monkeypatch):
     """The look has found bytes, and the reader is back in its wait before the attempt is put by."""
-    takein, again = entered(), []
-    there = joins(takein)
-    client = next(iter(takein.clients))
+    client_listener, again = entered(), []
+    there = joins(client_listener)
+    client = next(iter(client_listener.clients))
 
     class Found:
         def poll(self, wait):
@@ -223,7 +223,7 @@
     hop = SimpleNamespace(waited=False, lane=SimpleNamespace(again=again.append))
     assert client.client_writer.look(hop) == UNREAD
     until(lambda: again == [hop], limit=2)
-    takein.listener.close()
+    client_listener.listener.close()
 
 
 @pytest.mark.parametrize("lies", ["unread", "in its reader's hand"])
@@ -368,18 +368,18 @@
     return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, open_txns, route, answer_sender)
 
 
-def joins(takein, accept=True):
-    client = Client("%s:%d" % takein.listener.getsockname())
+def joins(client_listener, accept=True):
+    client = Client("%s:%d" % client_listener.listener.getsockname())
     if accept:
-        takein.enter(takein.listener.accept()[0])
+        client_listener.enter(client_listener.listener.accept()[0])
     return client
 
 
 def test_a_request_that_lands_between_the_look_and_the_close_is_not_taken_and_resets_nothing():
     """The client has its answer unread, the connection is shut as idle, and a request of the client's crosses that."""
-    takein = entered()
-    there = joins(takein)
-    client = next(iter(takein.clients))
+    client_listener = entered()
+    there = joins(client_listener)
+    client = next(iter(client_listener.clients))
     client.client_writer.open(1, 5)
     assert client.client_writer.answer(1, Answer("completed", body=b"late reader"))
     assert not client.unread() and client.client_writer.shut_if_idle()
@@ -388,34 +388,34 @@
     time.sleep(0.02)  # so the request has come, and what its coming leads to
     assert there.get()[1:3] == (1, 79) and there.get() is None  # an end, no reset
     there.sock.shutdown(socket.SHUT_WR)
-    until(lambda: not takein.clients)
-    assert not takein.admit.taken
-    takein.listener.close()
+    until(lambda: not client_listener.clients)
+    assert not client_listener.admit.taken
+    client_listener.listener.close()
 
 
 def test_a_client_that_does_not_close_after_its_side_was_shut_is_cut_off_in_bounded_time():
-    takein = entered()
-    there = joins(takein)
-    client = next(iter(takein.clients))
-    assert client.client_writer.shut_if_idle() and takein.clients
-    takein.look(client.client_writer.shut_at + 0.4)
-    assert takein.clients
-    takein.look(client.client_writer.shut_at + 0.6)
-    until(lambda: not takein.clients)
+    client_listener = entered()
+    there = joins(client_listener)
+    client = next(iter(client_listener.clients))
+    assert client.client_writer.shut_if_idle() and client_listener.clients
+    client_listener.look(client.client_writer.shut_at + 0.4)
+    assert client_listener.clients
+    client_listener.look(client.client_writer.shut_at + 0.6)
+    until(lambda: not client_listener.clients)
     assert there.get() is None
-    takein.listener.close()
+    client_listener.listener.close()
 
 
 def test_a_client_counts_until_its_descriptor_is_free_and_idle_ones_give_way():
-    takein = entered(most=8)
+    client_listener = entered(most=8)
     idle, most, seen = [], 0, set()  # seen: sockets; those that do not count any more are closed
     for _ in range(60):
-        idle.append(joins(takein))
-        most = max(most, len(takein.clients))
-        assert most <= 8 + takein.spare and all(sock.fileno() < 0 for sock in seen - {c.sock for c in takein.clients})
-        seen |= {client.sock for client in takein.clients}
+        idle.append(joins(client_listener))
+        most = max(most, len(client_listener.clients))
+        assert most <= 8 + client_listener.spare and all(sock.fileno() < 0 for sock in seen - {c.sock for c in client_listener.clients})
+        seen |= {client.sock for client in client_listener.clients}
     assert most > 8 and sum(client.sock.fileno() >= 0 for client in idle) == 60
-    takein.listener.close()
+    client_listener.listener.close()
 
 
 def test_a_connection_that_is_refused_its_options_ends_alone():
@@ -425,10 +425,10 @@
         def setsockopt(self, *about):
             raise OSError("reset")
 
-    takein, sock = entered(), Reset()
-    takein.enter(sock)
-    assert sock.fileno() < 0 and not takein.clients
-    takein.listener.close()
+    client_listener, sock = entered(), Reset()
+    client_listener.enter(sock)
+    assert sock.fileno() < 0 and not client_listener.clients
+    client_listener.listener.close()
 
 
 def test_a_reader_that_ends_as_the_writer_has_just_ended_frees_the_descriptor_once():
@@ -471,52 +471,52 @@
 
 def test_a_client_that_has_gone_leaves_no_cycle_behind():
     """What is freed by the collector of garbage alone stays for minutes, for its looks are rare."""
-    takein = entered()
-    there = joins(takein)
-    client = weakref.ref(next(iter(takein.clients)))
+    client_listener = entered()
+    there = joins(client_listener)
+    client = weakref.ref(next(iter(client_listener.clients)))
     gc.disable()
     try:
         there.file.close(), there.sock.close()
-        until(lambda: not takein.clients and client() is None, limit=5)
+        until(lambda: not client_listener.clients and client() is None, limit=5)
     finally:
         gc.enable()
-        takein.listener.close()
+        client_listener.listener.close()
 
 
 def test_where_all_have_txns_a_further_client_is_turned_away_at_once():
-    takein = entered(most=2)
-    both = [joins(takein), joins(takein)]
+    client_listener = entered(most=2)
+    both = [joins(client_listener), joins(client_listener)]
     for client in both:
         client.ask(1)
-    until(lambda: all(client.client_writer.streams for client in takein.clients))
+    until(lambda: all(client.client_writer.streams for client in client_listener.clients))
     began = time.monotonic()
-    assert joins(takein).get() is None and time.monotonic() - began < 0.5 and len(takein.clients) == len(both)
-    takein.listener.close()
+    assert joins(client_listener).get() is None and time.monotonic() - began < 0.5 and len(client_listener.clients) == len(both)
+    client_listener.listener.close()
 
 
 # Shutdown.
 
 
 def test_a_connection_in_the_backlog_as_the_listener_closes_is_taken():
-    takein = entered()
-    there = joins(takein, accept=False)
+    client_listener = entered()
+    there = joins(client_listener, accept=False)
     there.ask(1)
-    takein.close()
-    until(lambda: takein.admit.taken == [1])
-    assert not takein.shut(late=False)  # it owes an answer
-    next(iter(takein.clients)).client_writer.answer(1, Answer("completed", body=b"x"))
-    assert there.get()[1:3] == (1, 79) and there.get() is None and takein.shut(late=False)
+    client_listener.close()
+    until(lambda: client_listener.admit.taken == [1])
+    assert not client_listener.shut(late=False)  # it owes an answer
+    next(iter(client_listener.clients)).client_writer.answer(1, Answer("completed", body=b"x"))
+    assert there.get()[1:3] == (1, 79) and there.get() is None and client_listener.shut(late=False)
 
 
 def test_what_lies_unread_or_half_is_left_its_time_before_a_connection_is_shut():
-    takein = entered()
-    there = joins(takein)
-    client = next(iter(takein.clients))
+    client_listener = entered()
+    there = joins(client_listener)
+    client = next(iter(client_listener.clients))
     there.sock.sendall(b"\0\0\0\5")
     until(lambda: client.held)
-    assert not takein.shut(late=False) and not client.client_writer.shut_at
-    assert takein.shut(late=True) and client.client_writer.shut_at and there.get() is None
-    takein.listener.close()
+    assert not client_listener.shut(late=False) and not client.client_writer.shut_at
+    assert client_listener.shut(late=True) and client.client_writer.shut_at and there.get() is None
+    client_listener.listener.close()
 
 
 def test_a_request_read_after_the_router_has_shut_its_side_is_not_sent_on(run):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -108,19 +108,19 @@
 
 def test_a_request_s_time_counts_from_when_it_came_and_not_from_when_its_reader_had_a_turn(run):
     """Found by the soak (seed 211): its reader waited 250 ms for word of the board, for others; so after a stop of the process."""
-    takein, times = entered(), {}
-    takein.admit.request = lambda request, client_writer, now: (
+    client_listener, times = entered(), {}
+    client_listener.admit.request = lambda request, client_writer, now: (
         client_writer.open(request.stream, 7) and not times.update({request.stream: now})
     )
-    takein.route.handle = lambda: time.sleep(0.3) if len(times) == 1 else None
-    there = joins(takein)
+    client_listener.route.handle = lambda: time.sleep(0.3) if len(times) == 1 else None
+    there = joins(client_listener)
     there.ask(1)
     until(lambda: times)
     there.ask(2)
     sent = clock()
     until(lambda: len(times) == 2)
     assert abs(times[2] - sent) < 60 * MS < clock() - sent
-    takein.close()
+    client_listener.close()
     service = run(cache := Cache(lambda want: None))
     client = service.client()
     pause(service.process)
@@ -291,8 +291,8 @@
 
 def test_a_connection_that_was_accepted_as_the_listener_closes_is_in_the_list_before_the_program_looks_at_it():
     """Its thread had no turn between the accept and the list; all that is listed was shut, and the program left."""
-    takein = entered()
-    real, handed = takein.listener, threading.Event()
+    client_listener = entered()
+    real, handed = client_listener.listener, threading.Event()
 
     class Slow(Failing):
         def accept(self):
@@ -301,52 +301,52 @@
             time.sleep(0.3)
             return found
 
-    takein.listener = Slow(real)
-    threading.Thread(target=takein.run, daemon=True).start()
-    there = joins(takein, accept=False)
+    client_listener.listener = Slow(real)
+    threading.Thread(target=client_listener.run, daemon=True).start()
+    there = joins(client_listener, accept=False)
     there.ask(1)
     assert handed.wait(5)
-    takein.close()
-    assert takein.clients and not takein.shut(late=False) or takein.admit.taken == [1]
+    client_listener.close()
+    assert client_listener.clients and not client_listener.shut(late=False) or client_listener.admit.taken == [1]
 
 
 def test_an_accept_that_fails_as_the_listener_closes_leaves_nobody_in_the_backlog():
-    takein = entered()
-    clients = [joins(takein, accept=False) for _ in range(3)]
+    client_listener = entered()
+    clients = [joins(client_listener, accept=False) for _ in range(3)]
     for stream, client in enumerate(clients, 1):
         client.ask(stream)
-    takein.listener = Failing(takein.listener, errno.ECONNABORTED, errno.ENFILE)
-    takein.close()
-    until(lambda: sorted(takein.admit.taken) == [1, 2, 3], limit=3)
+    client_listener.listener = Failing(client_listener.listener, errno.ECONNABORTED, errno.ENFILE)
+    client_listener.close()
+    until(lambda: sorted(client_listener.admit.taken) == [1, 2, 3], limit=3)
 
 
 def test_an_accept_that_fails_for_a_moment_costs_no_client_its_connection():
     """Found by the soak (seed 122): a request sent to a resting connection in that moment was cut off with it."""
-    takein = entered()
-    resting = [joins(takein) for _ in range(3)]
-    takein.listener = Failing(takein.listener, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ECONNABORTED)
-    threading.Thread(target=takein.run, daemon=True).start()
-    further = joins(takein, accept=False)
+    client_listener = entered()
+    resting = [joins(client_listener) for _ in range(3)]
+    client_listener.listener = Failing(client_listener.listener, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ECONNABORTED)
+    threading.Thread(target=client_listener.run, daemon=True).start()
+    further = joins(client_listener, accept=False)
     further.ask(9)
-    until(lambda: takein.admit.taken == [9])
+    until(lambda: client_listener.admit.taken == [9])
     for stream, client in enumerate(resting, 1):
         client.ask(stream)
-    until(lambda: sorted(takein.admit.taken) == [1, 2, 3, 9])
-    takein.close()
+    until(lambda: sorted(client_listener.admit.taken) == [1, 2, 3, 9])
+    client_listener.close()
 
 
 def test_a_client_with_an_open_request_is_answered_whoever_fills_the_memory_for_frames():
-    takein = entered()
-    takein.most_bytes = 1000
-    there = joins(takein)
+    client_listener = entered()
+    client_listener.most_bytes = 1000
+    there = joins(client_listener)
     there.ask(1)
-    client = next(iter(takein.clients))
+    client = next(iter(client_listener.clients))
     until(lambda: client.client_writer.streams)
     there.sock.sendall(b"\0\0\x27\x10A\0\0\0\2" + b"x" * 2000)  # the begin of 10 KB
     assert there.get()[:2] == (66, 0)  # an error that belongs to no request: what it began is not read on
     client.client_writer.answer(1, Answer("completed", body=b"x"))
     assert there.get()[1:3] == (1, 79) and there.get() is None
-    takein.close()
+    client_listener.close()
 
 
 def test_a_look_at_a_client_whose_reader_closes_its_socket_meanwhile_ends_nothing():
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -241,14 +241,14 @@
     """Corked answers are owed until they are written: neither a sweep nor an end closes their connection before."""
     send = sender(Listener().address)
     lane = go(send, Hop(99, 0, "f" * 16, "c0", None, want("f" * 16), clock()))
-    pairs, outlets = [socket.socketpair() for _ in range(2)], []
+    pairs, client_writers = [socket.socketpair() for _ in range(2)], []
     for here, _ in pairs:
-        outlets.append(ClientWriter(here, encode, send.answer_sender))
+        client_writers.append(ClientWriter(here, encode, send.answer_sender))
     data, at = b"", clock()
     for n in range(6):
         name = f"{n + 1:016x}"
-        outlets[n % 2].open(n + 1, n + 1)
-        send.open_txns.take(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, outlets[n % 2], n + 1))
+        client_writers[n % 2].open(n + 1, n + 1)
+        send.open_txns.take(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, client_writers[n % 2], n + 1))
         go(send, Hop(n + 1, 0, name, "c0", None, want(name), at))
         data += resp.array(name.encode(), b"ACK", b"entity=e,issued=1", b"body-%d" % n)
     seen, put = [], ClientWriter.uncork
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -483,8 +483,8 @@
     service.end()
     service.path.write_text(json.dumps(service.conf))
     whole = Whole(read_node({"LB_CONFIG": str(service.path)}))
-    whole.takein.close()
-    assert whole.send.most_lanes == 16 and whole.takein.most_clients == 512
+    whole.client_listener.close()
+    assert whole.send.most_lanes == 16 and whole.client_listener.most_clients == 512
 
 
 def test_a_faulty_key_ends_the_program_with_code_2(run):
@@ -713,17 +713,17 @@
     """Found by the laboratory's herd: a router stopped for 6 s closed connections as idle before their readers had a turn; what a
     client had sent meanwhile was never answered."""
     open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
-    takein = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, open_txns, None, answer_sender)
+    client_listener = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, open_txns, None, answer_sender)
     here, there = socket.socketpair()
-    client = ClientConnection(takein, here)
-    takein.clients.add(client)
+    client = ClientConnection(client_listener, here)
+    client_listener.clients.add(client)
     client.proved, later = True, time.monotonic() + 60
     there.sendall(b"\0")
-    takein.look(later)
-    assert not client.client_writer.shut_at and not takein.make_room()
+    client_listener.look(later)
+    assert not client.client_writer.shut_at and not client_listener.make_room()
     here.recv(1)  # its reader has had its turn
-    takein.look(later)
+    client_listener.look(later)
     assert client.client_writer.shut_at
     there.close()
     here.close()
-    takein.listener.close()
+    client_listener.listener.close()
