--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -175,7 +175,7 @@
         """How often something ended, was refused, given up or closed, by reason."""
         gave_up, attempts = self.route.router.gave_up, self.route.attempts
         counts = {f"attempts_{result}": attempts[result] for result in RESULTS if attempts[result]}
-        counts |= self.send.refused.log_fields("refused") | self.client_listener.admit.refused.log_fields("refused")
+        counts |= self.send.refused.log_fields("refused") | self.client_listener.admission.refused.log_fields("refused")
         # Over the enum, not the dict: the Router's thread adds to that meanwhile.
         counts |= {f"gave_up_{why.value}": gave_up[why] for why in GiveUp if why in gave_up}
         counts |= contained_errors.log_fields()
@@ -214,7 +214,7 @@
         self.client_listener.close()
         killed_at = began + STILL_COMING + min(self.longest, KILLED_AFTER)
         left = min(self.longest, KILLED_AFTER) - BEFORE_IT
-        self.client_listener.admit.ends_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
+        self.client_listener.admission.ends_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
         while (took := time.monotonic() - began) < self.longest + STILL_COMING:
             late = took > STILL_COMING + left
             if late and self.open_txns.by_id:
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -168,9 +168,9 @@
             elif not self.used.new(value.stream):
                 raise frames.BadFrame("stream used again")
             elif len(self.client_writer.streams) >= MOST_STREAMS:
-                self.client_writer.write(encode(value.stream, Answer("rejected", self.client_listener.admit.come_back_ms)))
+                self.client_writer.write(encode(value.stream, Answer("rejected", self.client_listener.admission.come_back_ms)))
             else:
-                self.proved |= self.client_listener.admit.request(value, self.client_writer, now)
+                self.proved |= self.client_listener.admission.request(value, self.client_writer, now)
         except frames.BadFrame:
             raise
         except Exception:
@@ -227,7 +227,7 @@
         route,
         answer_sender: AnswerSender,
     ):
-        self.admit, self.open_txns, self.route, self.answer_sender = admit, open_txns, route, answer_sender
+        self.admission, self.open_txns, self.route, self.answer_sender = admit, open_txns, route, answer_sender
         self.most_clients, self.gone_after_ms = most_clients, gone_after // MS
         self.most_bytes, self.bytes = most_bytes, 0  # of unfinished frames
         self.ready = self.over = False  # over: the program's end has begun
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -389,7 +389,7 @@
     assert there.get()[1:3] == (1, 79) and there.get() is None  # an end, no reset
     there.sock.shutdown(socket.SHUT_WR)
     until(lambda: not client_listener.clients)
-    assert not client_listener.admit.taken
+    assert not client_listener.admission.taken
     client_listener.listener.close()
 
 
@@ -502,7 +502,7 @@
     there = joins(client_listener, accept=False)
     there.ask(1)
     client_listener.close()
-    until(lambda: client_listener.admit.taken == [1])
+    until(lambda: client_listener.admission.taken == [1])
     assert not client_listener.shut(late=False)  # it owes an answer
     next(iter(client_listener.clients)).client_writer.answer(1, Answer("completed", body=b"x"))
     assert there.get()[1:3] == (1, 79) and there.get() is None and client_listener.shut(late=False)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -109,7 +109,7 @@
 def test_a_request_s_time_counts_from_when_it_came_and_not_from_when_its_reader_had_a_turn(run):
     """Found by the soak (seed 211): its reader waited 250 ms for word of the board, for others; so after a stop of the process."""
     client_listener, times = entered(), {}
-    client_listener.admit.request = lambda request, client_writer, now: (
+    client_listener.admission.request = lambda request, client_writer, now: (
         client_writer.open(request.stream, 7) and not times.update({request.stream: now})
     )
     client_listener.route.handle = lambda: time.sleep(0.3) if len(times) == 1 else None
@@ -307,7 +307,7 @@
     there.ask(1)
     assert handed.wait(5)
     client_listener.close()
-    assert client_listener.clients and not client_listener.shut(late=False) or client_listener.admit.taken == [1]
+    assert client_listener.clients and not client_listener.shut(late=False) or client_listener.admission.taken == [1]
 
 
 def test_an_accept_that_fails_as_the_listener_closes_leaves_nobody_in_the_backlog():
@@ -317,7 +317,7 @@
         client.ask(stream)
     client_listener.listener = Failing(client_listener.listener, errno.ECONNABORTED, errno.ENFILE)
     client_listener.close()
-    until(lambda: sorted(client_listener.admit.taken) == [1, 2, 3], limit=3)
+    until(lambda: sorted(client_listener.admission.taken) == [1, 2, 3], limit=3)
 
 
 def test_an_accept_that_fails_for_a_moment_costs_no_client_its_connection():
@@ -328,10 +328,10 @@
     threading.Thread(target=client_listener.run, daemon=True).start()
     further = joins(client_listener, accept=False)
     further.ask(9)
-    until(lambda: client_listener.admit.taken == [9])
+    until(lambda: client_listener.admission.taken == [9])
     for stream, client in enumerate(resting, 1):
         client.ask(stream)
-    until(lambda: sorted(client_listener.admit.taken) == [1, 2, 3, 9])
+    until(lambda: sorted(client_listener.admission.taken) == [1, 2, 3, 9])
     client_listener.close()
 
 
