--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -11,7 +11,7 @@
 from collections import defaultdict
 
 from fieldspur.fleet import consensus, planner, work_orders
-from fieldspur.fleet.coordinator import COLD, WELL, Foreman, bare
+from fieldspur.fleet.coordinator import COLD, WELL, Coordinator, bare
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.member import Node
 
@@ -51,7 +51,7 @@
         return self.zones[int(name[1:]) % len(self.zones)]
 
     def member(self, n: int, name: str):
-        foreman = Foreman(self.names, name, self.zone(name), self.length, BOUNDS, False, LONGEST, WARM)
+        foreman = Coordinator(self.names, name, self.zone(name), self.length, BOUNDS, False, LONGEST, WARM)
         foreman.wishes, nonce = self.wishes[name], self.random.randrange(1, 1 << 40)
         if name in self.names:
             return Node("sized", consensus.blank(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, foreman)
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -106,7 +106,7 @@
     return float(raw)
 
 
-class Foreman:
+class Coordinator:
     """`names` of those that settle things, in their order; `own` is among them, or follows what they settle. `length` ns is a
     lease's, `longest` ns the longest time limit of a txn, `warm` ns from cold to full."""
 
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -7,7 +7,7 @@
 
 from fieldspur.fleet import consensus
 from fieldspur.fleet.consensus import Register, StampedValue
-from fieldspur.fleet.coordinator import Foreman
+from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.failure_detector import Members
 from fieldspur.fleet.member import BEATS, Node, caught_up, may_be, same_fleet
 
@@ -18,7 +18,7 @@
     fenced = False
 
     def __init__(
-        self, fleet: str, name: str, nonce: int, members: int, now: int, length: int, foreman: Foreman, kept: StampedValue | None = None
+        self, fleet: str, name: str, nonce: int, members: int, now: int, length: int, foreman: Coordinator, kept: StampedValue | None = None
     ):
         self.fleet, self.name, self.nonce, self.foreman = fleet, name, nonce, foreman
         self.beat = length // BEATS
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -13,7 +13,7 @@
 import time
 
 from fieldspur.fleet import consensus, planner, register_codec, work_orders
-from fieldspur.fleet.coordinator import Foreman, bare
+from fieldspur.fleet.coordinator import Coordinator, bare
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.list_overlay import Overlay
 from fieldspur.fleet.member import Node
@@ -107,7 +107,7 @@
         kept = self.kept_at_start()
         site, bounds = overlay.site, wishes.bounds
         longest = max((rule.limit for rule in site.rules), default=0)
-        self.foreman = Foreman(
+        self.foreman = Coordinator(
             self.names,
             own,
             site.zones[site.fleet["zone"]],
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -4,7 +4,7 @@
 import random
 
 from fieldspur.fleet import consensus, planner, work_orders
-from fieldspur.fleet.coordinator import Foreman
+from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.member import Node
 
@@ -120,7 +120,7 @@
         super().__init__(members, seed, followers=followers)
 
     def foreman(self, n):
-        made = Foreman([f"r{m}" for m in range(self.settle)], f"r{n}", "east", LENGTH, self.bounds, self.strict, LONGEST, WARM)
+        made = Coordinator([f"r{m}" for m in range(self.settle)], f"r{n}", "east", LENGTH, self.bounds, self.strict, LONGEST, WARM)
         made.wishes = self.wished[n]
         self.planted(made)
         return made
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fieldspur.fleet import consensus, planner, register_codec, work_orders
-from fieldspur.fleet.coordinator import Foreman
+from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.list_lease import Granted, Listed
 
 LENGTH, LONGEST, UNIT = 2, 1, 6  # of moments; UNIT: ns of one, so that a beat is a part of a lease
@@ -16,7 +16,7 @@
 BOARD = {f"c{n}": work_orders.Listing("up", 0, "h:1", "east", "cache", 10.0) for n in range(2)}
 
 
-class Quiet(Foreman):
+class Quiet(Coordinator):
     """What is not searched here is left out: loads, words for operators."""
 
     def park(self, now):
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -434,7 +434,7 @@
     from fieldspur.fleet import register_codec
 
     may_be = register_codec.freeze(work_orders.value(work_orders.Work(6, (order,))))
-    made = coordinator.Foreman(["r0", "r1", "r2"], "r0", "east", LENGTH, planner.Bounds(), False, LONGEST, SECOND)
+    made = coordinator.Coordinator(["r0", "r1", "r2"], "r0", "east", LENGTH, planner.Bounds(), False, LONGEST, SECOND)
     made.holds = 3
     for name, holds in (("r1", 3), ("r2", 5)):
         made.reports[name] = coordinator.Report(7, holds, 4, {}, False, False, {}, (), (0, 0), (), "east")
