--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -51,11 +51,11 @@
         return self.zones[int(name[1:]) % len(self.zones)]
 
     def member(self, n: int, name: str):
-        foreman = Coordinator(self.names, name, self.zone(name), self.length, BOUNDS, False, LONGEST, WARM)
-        foreman.wishes, nonce = self.wishes[name], self.random.randrange(1, 1 << 40)
+        coordinator = Coordinator(self.names, name, self.zone(name), self.length, BOUNDS, False, LONGEST, WARM)
+        coordinator.wishes, nonce = self.wishes[name], self.random.randrange(1, 1 << 40)
         if name in self.names:
-            return Node("sized", consensus.blank(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, foreman)
-        return Follower("sized", name, nonce, self.votes, self.now, self.length, foreman)
+            return Node("sized", consensus.blank(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, coordinator)
+        return Follower("sized", name, nonce, self.votes, self.now, self.length, coordinator)
 
     def acting(self) -> str | None:
         return next((name for name in self.names if self.members[name].acts(self.now)), None)
@@ -68,18 +68,18 @@
 
     def look(self, name: str) -> None:
         """Once a second: what its router sees of the caches of its location."""
-        foreman, zone = self.members[name].foreman, self.zone(name)
+        coordinator, zone = self.members[name].coordinator, self.zone(name)
         cold = {
             one.machine
-            for one in foreman.work.orders
+            for one in coordinator.work.orders
             if one.state == work_orders.BACK and self.now - self.seen.get((one.ident, work_orders.BACK), self.now) < WARM
         }
-        foreman.loads = {
+        coordinator.loads = {
             cache: [20.0, round(self.random.uniform(0.2, 0.6), 2), 5.0, COLD if cache in cold else WELL]
             for cache, listing in self.board.items()
             if listing.zone == zone
         }
-        foreman.fresh_loads = True
+        coordinator.fresh_loads = True
 
     def step(self) -> None:
         """A quarter of a beat, as `talk` sleeps: all tick, say what is new, and read what was said."""
@@ -91,14 +91,14 @@
                 self.look(name)
             cost = self.costs[self.role(name, acting)]
             began = time.process_time()
-            member.foreman.wall, member.foreman.board = self.now // MS, self.board
+            member.coordinator.wall, member.coordinator.board = self.now // MS, self.board
             member.tick(self.now)
-            member.foreman.applied(member.foreman.work.number, dict.fromkeys(member.foreman.announced(), 0))
+            member.coordinator.applied(member.coordinator.work.number, dict.fromkeys(member.coordinator.announced(), 0))
             line = member.line()
             without = bare(line)
             if without != self.lines.get(name):
                 self.lines[name], said[name] = without, json.dumps(line, separators=(",", ":")).encode()
-                member.foreman.told()
+                member.coordinator.told()
             cost.cpu += time.process_time() - began
         self.read(said, acting)
         for at, machine in [row for row in self.restarts if row[0] <= self.now]:
@@ -122,7 +122,7 @@
                 cost.cpu += time.process_time() - began
                 cost.read += len(line)
                 cost.lines += 1
-                self.note(member.foreman.work)
+                self.note(member.coordinator.work)
 
     def note(self, found: work_orders.Work) -> None:
         for order in found.orders:
@@ -145,7 +145,7 @@
         self.run(2)
 
     def latest(self) -> work_orders.Work:
-        return max((self.members[name].foreman.work for name in self.names), key=lambda one: one.number)
+        return max((self.members[name].coordinator.work for name in self.names), key=lambda one: one.number)
 
     def ask(self, name: str, ident: str, machine: str) -> None:
         self.wishes[name].append(work_orders.Wish(ident, machine, NEEDS))
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -18,22 +18,22 @@
     fenced = False
 
     def __init__(
-        self, fleet: str, name: str, nonce: int, members: int, now: int, length: int, foreman: Coordinator, kept: StampedValue | None = None
+        self, fleet: str, name: str, nonce: int, members: int, now: int, length: int, coordinator: Coordinator, kept: StampedValue | None = None
     ):
-        self.fleet, self.name, self.nonce, self.foreman = fleet, name, nonce, foreman
+        self.fleet, self.name, self.nonce, self.coordinator = fleet, name, nonce, coordinator
         self.beat = length // BEATS
         self.views: list = [None] * members
         self.raw: list = [(None, None)] * members
         self.members = Members(-1, members, now, self.beat, self.beat // 4)
         self.resumed, self.decided = kept is not None, kept or consensus.NO_VALUE
-        foreman.know(self.decided.value)
+        coordinator.know(self.decided.value)
 
     def remember(self, kept: Register, now: int) -> None:
         """What it had kept could be read only now."""
         self.resumed = True
         if kept.decided.stamp > self.decided.stamp:
             self.decided = kept.decided
-            self.foreman.know(self.decided.value)
+            self.coordinator.know(self.decided.value)
 
     register_of = Node.register_of
 
@@ -41,12 +41,12 @@
         """A line of one that settles; raises BadLine where it is none, or of another fleet."""
         same_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
-        self.foreman.heard(value, self.foreman.names[member], register.nonce, self.nonce, (register.decided.value,))
+        self.coordinator.heard(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
         self.views[member] = register
         self.members.line(member, register.nonce, now)
         if register.decided.stamp > self.decided.stamp:
             self.decided = register.decided
-            self.foreman.know(self.decided.value)
+            self.coordinator.know(self.decided.value)
 
     def alive(self, member: int, now: int) -> None:
         if self.views[member] is not None:
@@ -54,7 +54,7 @@
 
     def tick(self, now: int) -> None:
         self.members.looked(now)
-        self.foreman.tick(now, False, [], (), self.founded(), may_be(self.views))
+        self.coordinator.tick(now, False, [], (), self.founded(), may_be(self.views))
 
     def acts(self, now: int) -> bool:
         return False
@@ -66,7 +66,7 @@
         """It is counted, and knows as much of what is out as any process of it before may have said that it goes by; or there is no
         fleet yet."""
         remembers = self.resumed or caught_up(self.views)
-        return remembers and self.foreman.counted() or not self.founded()
+        return remembers and self.coordinator.counted() or not self.founded()
 
     def line(self) -> dict:
-        return {"fleet": self.fleet, "follower": self.name, "nonce": self.nonce, **self.foreman.line()}
+        return {"fleet": self.fleet, "follower": self.name, "nonce": self.nonce, **self.coordinator.line()}
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -1,5 +1,5 @@
 """Between the notice board and the router: what is out for work is shown to the router as draining, whatever the board says, and
-what comes back from it as started when that was heard. Decides nothing: `foreman` says which machines."""
+what comes back from it as started when that was heard. Decides nothing: `coordinator` says which machines."""
 
 from __future__ import annotations
 
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -20,12 +20,12 @@
         raise register_codec.BadLine(f"fleet: {str(value.get('fleet'))[:40]}")
 
 
-def follower_line(fleet: str, name: str, value: dict, foreman, own_nonce: int) -> None:
+def follower_line(fleet: str, name: str, value: dict, coordinator, own_nonce: int) -> None:
     """Takes a follower's line, or raises BadLine."""
     same_fleet(fleet, value)
     if value.get("follower") != name:
         raise register_codec.BadLine(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
-    foreman.heard(value, name, register_codec.whole_number(value.get("nonce"), "nonce", 1), own_nonce)
+    coordinator.heard(value, name, register_codec.whole_number(value.get("nonce"), "nonce", 1), own_nonce)
 
 
 def caught_up(views: list, me: int = -1) -> bool:
@@ -44,9 +44,9 @@
 class Node:
     """`register` is what was kept, or blank. `length` ns is a lease's; all members have the same, and the same `fleet`."""
 
-    def __init__(self, fleet: str, register: Register, members: int, now: int, length: int, seed: int, forgot: bool, foreman=None):
-        """`foreman` says what this member tells the others and what follows on an agreed value; without one nothing does."""
-        self.fleet, self.register, self.me, self.foreman = fleet, register, register.member, foreman
+    def __init__(self, fleet: str, register: Register, members: int, now: int, length: int, seed: int, forgot: bool, coordinator=None):
+        """`coordinator` says what this member tells the others and what follows on an agreed value; without one nothing does."""
+        self.fleet, self.register, self.me, self.coordinator = fleet, register, register.member, coordinator
         self.beat, self.random = length // BEATS, random.Random(seed)
         self.views: list = [None] * members
         self.raw: list = [(None, None)] * members  # the register each said last, as it came and as it was read
@@ -64,8 +64,8 @@
         self.register = consensus.resume(kept, self.register.nonce)
         self.lease.remembers()
         self.ask_at = now + self.lease.length
-        if self.foreman is not None:
-            self.foreman.know(self.register.decided.value)
+        if self.coordinator is not None:
+            self.coordinator.know(self.register.decided.value)
 
     # What comes in.
 
@@ -74,10 +74,10 @@
         same_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
         backs, tick = (register_codec.ticked(value.get(name), name) for name in ("backs", "tick"))
-        if self.foreman is not None:
-            self.foreman.heard(
+        if self.coordinator is not None:
+            self.coordinator.heard(
                 value,
-                self.foreman.names[member],
+                self.coordinator.names[member],
                 register.nonce,
                 self.register.nonce,
                 (said.value for said in (register.accepted, register.said, register.decided)),
@@ -100,14 +100,14 @@
 
     def heard_follower(self, name: str, value: dict, now: int) -> None:
         """A line of a router that follows; raises BadLine where it is none, or of another fleet."""
-        follower_line(self.fleet, name, value, self.foreman, self.register.nonce)
+        follower_line(self.fleet, name, value, self.coordinator, self.register.nonce)
         self.members.line(name, value["nonce"], now)
 
     def alive(self, member, now: int) -> None:
         """A line of it that tells nothing new. Guards against intervals learned while nothing happened: found with
         processes, where a killed member was followed after 5.4 s of a lease of 1 s."""
         if type(member) is not int:
-            self.members.line(member, self.foreman.reports[member].nonce if member in self.foreman.reports else 0, now)
+            self.members.line(member, self.coordinator.reports[member].nonce if member in self.coordinator.reports else 0, now)
         elif self.views[member] is not None:
             self.members.line(member, self.views[member].nonce, now)
 
@@ -141,14 +141,14 @@
                 break
             self.register = said
             self.step(now)
-        if self.foreman is not None:  # of what is kept, where this member remembers: it may be asked later what it went by
-            self.foreman.know((self.register.decided if self.register.life else self.known()).value)
+        if self.coordinator is not None:  # of what is kept, where this member remembers: it may be asked later what it went by
+            self.coordinator.know((self.register.decided if self.register.life else self.known()).value)
         if before.promised != self.register.promised:
             self.ask_at = now + self.pause()
 
     def successor(self, value: Any) -> Any:
         """What follows on the agreed value; None where nothing does, or this member does not hold the lease at this moment."""
-        return self.foreman.succeed(value, self.now) if self.foreman is not None and self.acts(self.now) else None
+        return self.coordinator.succeed(value, self.now) if self.coordinator is not None and self.acts(self.now) else None
 
     def known(self) -> StampedValue:
         """The latest that is decided, as far as is known here. What a member learned before it forgot stays decided."""
@@ -170,9 +170,9 @@
         """Time has passed: to be called about four times a beat."""
         self.members.looked(now)
         self.follow(now)
-        if self.foreman is not None:
+        if self.coordinator is not None:
             said = (self.known(), self.register.accepted, self.register.said)
-            self.foreman.tick(
+            self.coordinator.tick(
                 now, self.acts(now), [one.value for one in said], self.members.suspected(now), self.founded(), may_be(self.seen())
             )
         if self.fenced or not self.register.life:
@@ -222,5 +222,5 @@
             "register": register_codec.encode_register(self.register),
             "tick": [list(self.lease.ballot), self.lease.tick] if own else [list(NO_BALLOT), 0],
             "backs": [list(self.lease.backs.ballot), self.lease.backs.tick],
-            **(self.foreman.line() if self.foreman is not None else {}),
+            **(self.coordinator.line() if self.coordinator is not None else {}),
         }
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -107,7 +107,7 @@
         kept = self.kept_at_start()
         site, bounds = overlay.site, wishes.bounds
         longest = max((rule.limit for rule in site.rules), default=0)
-        self.foreman = Coordinator(
+        self.coordinator = Coordinator(
             self.names,
             own,
             site.zones[site.fleet["zone"]],
@@ -117,14 +117,14 @@
             longest,
             max(site.fleet["cache_cold"][1], site.fleet["parent_cold"][1]),
         )
-        self.foreman.wishes, self.foreman.left = wishes_of(wishes.work, "fleet.work"), list(wishes.left)
+        self.coordinator.wishes, self.coordinator.left = wishes_of(wishes.work, "fleet.work"), list(wishes.left)
         if votes:
             register = consensus.resume(kept, nonce) if kept is not None else consensus.blank(me, many, nonce)
-            self.node = Node(wishes.name, register, many, now(), length, seed, kept is None, self.foreman)
-            self.foreman.know(register.decided.value)
+            self.node = Node(wishes.name, register, many, now(), length, seed, kept is None, self.coordinator)
+            self.coordinator.know(register.decided.value)
             kept = register if kept is not None else None  # as this process takes it up: what fails to be kept falls back to it
         else:
-            self.node = Follower(wishes.name, own, nonce, many, now(), length, self.foreman, kept.decided if kept else None)
+            self.node = Follower(wishes.name, own, nonce, many, now(), length, self.coordinator, kept.decided if kept else None)
         self.votes = votes
         self.every = min(EVERY, self.node.beat / 1e9)
         self.kept, self.failed, self.acting, self.life = kept, bool(self.unread), False, kept.life if votes and kept else 0
@@ -201,13 +201,13 @@
 
     def heard(self, number: int | str, value: dict) -> None:
         with self.lock:
-            before = self.foreman.work.number
+            before = self.coordinator.work.number
             if isinstance(number, str):
                 self.node.heard_follower(number, value, now())
             else:
                 self.node.heard(number, value, now())
             self.keep()
-            fresh = self.foreman.work.number != before
+            fresh = self.coordinator.work.number != before
         if fresh:
             self.apply()
             self.publish()
@@ -226,11 +226,11 @@
                 log.error("fenced", extra={"kv": {"why": "a later process of this name is a member; this one takes part no more"}})
             if self.unread:
                 self.read_again()
-            if time.monotonic() - looked >= (LOOK_BACK if self.foreman.back() else LOOK):
+            if time.monotonic() - looked >= (LOOK_BACK if self.coordinator.back() else LOOK):
                 looked = time.monotonic()
                 self.overlay.look(self.looked)
             with self.lock:
-                self.foreman.wall, self.foreman.board = time.time_ns() // 1_000_000, self.overlay.listings
+                self.coordinator.wall, self.coordinator.board = time.time_ns() // 1_000_000, self.overlay.listings
                 self.node.tick(now())
                 self.keep()
                 acts = self.node.acts(now())
@@ -276,7 +276,7 @@
             peer.want(yes)
 
     def looked(self, loads: dict, turned: tuple) -> None:
-        self.foreman.loads, self.foreman.turned, self.foreman.fresh_loads = loads, turned, True
+        self.coordinator.loads, self.coordinator.turned, self.coordinator.fresh_loads = loads, turned, True
 
     # What is out.
 
@@ -285,15 +285,15 @@
         with self.applying:
             with self.lock:
                 at = now()
-                found, off, backs = self.foreman.work, self.foreman.off(at), self.foreman.back()
-                doubt, sure = self.foreman.in_doubt(at), self.node.knows()
-            self.unsure = self.foreman.announced()
+                found, off, backs = self.coordinator.work, self.coordinator.off(at), self.coordinator.back()
+                doubt, sure = self.coordinator.in_doubt(at), self.node.knows()
+            self.unsure = self.coordinator.announced()
             self.overlay.keep_off(off, backs)
             open_at = self.overlay.open_at(sorted(self.unsure))
             with self.lock:
                 if not self.failed:  # what is not on disk is not said: after a crash this member would not know it
-                    self.foreman.applied(found.number, open_at)
-            if self.foreman.strict:
+                    self.coordinator.applied(found.number, open_at)
+            if self.coordinator.strict:
                 self.overlay.turn_away(doubt)
             if sure:
                 self.known.set()
@@ -301,11 +301,11 @@
 
     def doubted(self, server: str) -> bool:
         """Just before a write. Guards against a process that was stopped while machines went, or whose threads had no turn."""
-        if server not in self.unsure and not self.foreman.strict:
+        if server not in self.unsure and not self.coordinator.strict:
             return False
-        if self.foreman.strict:
-            return self.foreman.in_doubt(now())
-        return not self.foreman.listed.holds(now())
+        if self.coordinator.strict:
+            return self.coordinator.in_doubt(now())
+        return not self.coordinator.listed.holds(now())
 
     def tell(self, found: work_orders.Work) -> None:
         """A line of the log for each order that went a step further."""
@@ -346,7 +346,7 @@
             fleet = replace(self.wishes, work=fleet.work, left=fleet.left)
             same = None
         with self.lock:
-            self.foreman.wishes, self.foreman.left = wishes_of(fleet.work, "fleet.work"), list(fleet.left)
+            self.coordinator.wishes, self.coordinator.left = wishes_of(fleet.work, "fleet.work"), list(fleet.left)
             self.wishes = fleet
         return same is not None
 
@@ -397,7 +397,7 @@
             without = bare(line)
             if without == self.last or self.node.fenced:
                 return
-            self.foreman.told()
+            self.coordinator.told()
         with self.told:
             self.last, self.rev = without, self.rev + 1
             self.data = json.dumps({"rev": self.rev, **line}, separators=(",", ":")).encode() + b"\n"
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -14,7 +14,7 @@
 
 
 class Entries:
-    """In place of a foreman: the agreed value is a list that each member's wants are added to."""
+    """In place of a coordinator: the agreed value is a list that each member's wants are added to."""
 
     def __init__(self):
         self.wants, self.others = [], {}
@@ -54,10 +54,10 @@
     def new(self, n):
         nonce = self.random.randrange(1, 1 << 40)
         if n >= self.settle:
-            return Follower("valley", f"r{n}", nonce, self.settle, self.now, LENGTH, self.foreman(n))
-        return Node("valley", consensus.blank(n, self.settle, nonce), self.settle, self.now, LENGTH, nonce, True, self.foreman(n))
+            return Follower("valley", f"r{n}", nonce, self.settle, self.now, LENGTH, self.coordinator(n))
+        return Node("valley", consensus.blank(n, self.settle, nonce), self.settle, self.now, LENGTH, nonce, True, self.coordinator(n))
 
-    def foreman(self, n):
+    def coordinator(self, n):
         return Entries()
 
     def run(self, ms):
@@ -88,7 +88,7 @@
         self.decided = max(self.decided, agreed, key=len)
 
     def want(self, n, body):
-        self.nodes[n].foreman.wants.append((f"{n}.{self.now}", body))
+        self.nodes[n].coordinator.wants.append((f"{n}.{self.now}", body))
 
     def begin(self):
         self.run(500)
@@ -111,7 +111,7 @@
     def __init__(
         self, members, seed, machines=6, bounds=planner.Bounds(zone=0.5, all=0.5, both=1.0), strict=False, planted=None, followers=0
     ):
-        self.bounds, self.strict, self.planted = bounds, strict, planted or (lambda foreman: None)
+        self.bounds, self.strict, self.planted = bounds, strict, planted or (lambda coordinator: None)
         self.listings = {f"c{m}": work_orders.Listing("up", 0, f"h:{m}", "east", "cache", 10.0) for m in range(machines)}
         self.wished = {n: [] for n in range(members)}
         self.hops = {n: [] for n in range(members)}  # (machine, began, ends)
@@ -119,7 +119,7 @@
         self.wrong, self.restarts, self.skew = [], [], {}  # skew: ms by which a router's Unix clock is off
         super().__init__(members, seed, followers=followers)
 
-    def foreman(self, n):
+    def coordinator(self, n):
         made = Coordinator([f"r{m}" for m in range(self.settle)], f"r{n}", "east", LENGTH, self.bounds, self.strict, LONGEST, WARM)
         made.wishes = self.wished[n]
         self.planted(made)
@@ -140,19 +140,19 @@
     def use(self, n):
         """One router's turn: what it reports, and hops to what it may use."""
         node, now = self.nodes[n], self.now
-        foreman = node.foreman
-        foreman.wall, foreman.board = now // MS + self.skew.get(n, 0), self.listings
+        coordinator = node.coordinator
+        coordinator.wall, coordinator.board = now // MS + self.skew.get(n, 0), self.listings
         self.hops[n] = [hop for hop in self.hops[n] if hop[2] > now]
-        off = foreman.off(now)
-        foreman.fresh_loads = True
-        foreman.loads = {m: [10.0, 3.0 / self.members, 5.0, 2 if self.cold(foreman, m, now) else 0] for m in self.listings}
-        if not foreman.in_doubt(now) if self.strict else node.knows():  # at its start a router waits until it knows
+        off = coordinator.off(now)
+        coordinator.fresh_loads = True
+        coordinator.loads = {m: [10.0, 3.0 / self.members, 5.0, 2 if self.cold(coordinator, m, now) else 0] for m in self.listings}
+        if not coordinator.in_doubt(now) if self.strict else node.knows():  # at its start a router waits until it knows
             for machine in self.listings:
                 if machine not in off and self.random.random() < 0.3:
                     self.hop(n, machine)
-        foreman.applied(foreman.work.number, {m: sum(hop[0] == m for hop in self.hops[n]) for m in foreman.announced()})
+        coordinator.applied(coordinator.work.number, {m: sum(hop[0] == m for hop in self.hops[n]) for m in coordinator.announced()})
 
-    def cold(self, foreman, machine, now):
+    def cold(self, coordinator, machine, now):
         return any(
             one.machine == machine
             and one.state == work_orders.BACK
@@ -160,7 +160,7 @@
             or one.machine == machine
             and one.state == work_orders.BACK
             and now - self.numbers[one.at][1] < WARM
-            for one in foreman.work.orders
+            for one in coordinator.work.orders
         )
 
     def hop(self, n, machine):
@@ -184,7 +184,7 @@
 
     def judge(self):
         for node in self.nodes:
-            found = node.foreman.work
+            found = node.coordinator.work
             if found.number and found.number not in self.numbers:
                 self.numbers[found.number] = (found, self.now)
                 self.decided_first(found)
@@ -231,7 +231,7 @@
         raise AssertionError(f"not within {limit_ms} ms: {self.latest()}")
 
     def latest(self):
-        return max((node.foreman.work for node in self.nodes), key=lambda found: found.number)
+        return max((node.coordinator.work for node in self.nodes), key=lambda found: found.number)
 
     def how(self):
         """How each order ended, by machine."""
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -47,7 +47,7 @@
     world.run(3000)
     assert len({node.agreed() for node in world.nodes}) == 1
     assert sorted(body for _, body in world.decided) == [f"out c{n}" for n in range(5)]
-    assert not any(node.foreman.wants for node in world.nodes) and world.most_acting == 1
+    assert not any(node.coordinator.wants for node in world.nodes) and world.most_acting == 1
 
 
 @pytest.mark.parametrize("seed", range(6))
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -1,4 +1,4 @@
-"""Every order of events round one machine that goes: leases on the list, as `foreman` and `listed` keep them, at three members with
+"""Every order of events round one machine that goes: leases on the list, as `coordinator` and `listed` keep them, at three members with
 a pause, a restart without memory, a loss of any line and a change of who acts. Agreement is searched by itself (test_fleet.py); here
 a decision is taken the moment who acts makes it, which nobody else can hear earlier."""
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -27,7 +27,7 @@
 
 def told(yard, n):
     """That router was told that c0 is next, and who acts knows it."""
-    found, heard = yard.nodes[n].foreman.work.of("w-c0"), yard.nodes[yard.acted[-1]].foreman.reports.get(f"r{n}")
+    found, heard = yard.nodes[n].coordinator.work.of("w-c0"), yard.nodes[yard.acted[-1]].coordinator.reports.get(f"r{n}")
     return found is not None and heard is not None and heard.holds >= found.next_at > 0
 
 
@@ -42,7 +42,7 @@
     yard.until(lambda: len(yard.how()) == 2, 60_000)
     assert yard.how() == {"c0": "done", "c1": "done"} and sorted(yard.frees) == ["c0", "c1"] and yard.most_out == 1
     yard.run(1000)
-    assert len({node.foreman.work for node in yard.nodes}) == 1
+    assert len({node.coordinator.work for node in yard.nodes}) == 1
     whole(yard)
 
 
@@ -69,8 +69,8 @@
     yard.until(lambda: told(yard, other), 10_000)
     yard.cut = {(a, b) for a in range(3) for b in range(3) if other in (a, b)}
     yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
-    assert yard.nodes[other].foreman.work.of("w-c0").state in (work_orders.NEXT, work_orders.GOING)
-    assert "c0" in yard.nodes[other].foreman.off(yard.now) and "c1" not in yard.nodes[other].foreman.off(yard.now)
+    assert yard.nodes[other].coordinator.work.of("w-c0").state in (work_orders.NEXT, work_orders.GOING)
+    assert "c0" in yard.nodes[other].coordinator.off(yard.now) and "c1" not in yard.nodes[other].coordinator.off(yard.now)
     whole(yard)
 
 
@@ -124,7 +124,7 @@
     yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
     yard.stopped = set()
     yard.run(3000)
-    assert yard.nodes[other].foreman.work.of("w-c0").state == work_orders.FREE
+    assert yard.nodes[other].coordinator.work.of("w-c0").state == work_orders.FREE
     whole(yard)
 
 
@@ -135,7 +135,7 @@
     yard.wished[1].clear()
     yard.until(lambda: yard.how() == {"c0": "dropped"}, 5000)
     yard.run(1000)
-    assert not any("c0" in node.foreman.off(yard.now) for node in yard.nodes)
+    assert not any("c0" in node.coordinator.off(yard.now) for node in yard.nodes)
     whole(yard)
 
 
@@ -261,7 +261,7 @@
     yard.ask(9, "c1")
     yard.run(10_000)
     assert yard.latest().number == number and not any(yard.nodes[n].register.life for n in range(7))
-    assert all("c0" in node.foreman.off(yard.now) and "c2" not in node.foreman.off(yard.now) for node in yard.nodes)
+    assert all("c0" in node.coordinator.off(yard.now) and "c2" not in node.coordinator.off(yard.now) for node in yard.nodes)
     assert all(yard.hops[n] for n in range(10))
     whole(yard)
 
@@ -364,13 +364,13 @@
     yard.ask(3, "c0", needs=3.0)  # asked at one that follows
     yard.run(6000)
     assert state(yard, "c0") == work_orders.NEXT and note(yard, "c0") == "r4 has not heard of it"
-    yard.nodes[0].foreman.left = ["r4"]
+    yard.nodes[0].coordinator.left = ["r4"]
     yard.until(lambda: yard.how() == {"c0": "done"}, 30_000)
     assert yard.latest().routers == ("r3",)
     yard.start(4)
     yard.run(3000)
     assert yard.latest().routers == ("r3",) and not yard.hops[4]  # an operator said that it is out
-    yard.nodes[0].foreman.left = []
+    yard.nodes[0].coordinator.left = []
     yard.run(3000)
     assert yard.latest().routers == ("r3", "r4") and yard.hops[4]
     whole(yard)
@@ -496,10 +496,10 @@
 def test_a_line_whose_word_on_work_is_none_changes_nothing(change, said):
     yard = begun(3, 1)
     line = yard.nodes[1].line()
-    before = dict(yard.nodes[0].foreman.reports)
+    before = dict(yard.nodes[0].coordinator.reports)
     with pytest.raises(ValueError, match=said):
         yard.nodes[0].heard(1, line | {"work": line["work"] | change}, yard.now)
-    assert yard.nodes[0].foreman.reports == before
+    assert yard.nodes[0].coordinator.reports == before
 
 
 FLEET = '{"fleet": {"name": "v", "members": {"a": "127.0.0.1:1 z", "b": "127.0.0.1:2 z"}, "work": %s}}'
