--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -148,7 +148,7 @@
         return max((self.members[name].coordinator.work for name in self.names), key=lambda one: one.number)
 
     def ask(self, name: str, ident: str, machine: str) -> None:
-        self.wishes[name].append(work_orders.Wish(ident, machine, NEEDS))
+        self.wishes[name].append(work_orders.WorkRequest(ident, machine, NEEDS))
 
     def table(self, seconds: float) -> dict:
         """By role, a member's share of a core and its lines, over a span that began with fresh costs."""
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -114,7 +114,7 @@
         self.names, self.own, self.zone = names, own, zone
         self.bounds, self.strict, self.longest, self.warm = bounds, strict, longest, warm
         self.beat, self.ask_every = length // 6, length // ASKS
-        self.wishes: list[work_orders.Wish] = []
+        self.wishes: list[work_orders.WorkRequest] = []
         self.listed, self.granted = Listed(length), Granted(length)
         self.left: list[str] = []  # routers that an operator takes out
         self.reports: dict[str, Report] = {}
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -32,7 +32,7 @@
     """What is asked for can't be; the text says why."""
 
 
-class Wish(NamedTuple):
+class WorkRequest(NamedTuple):
     """What an operator asks for at one router. `needs` s of work on `machine`; `before` in Unix s, 0 where it does not matter;
     `beside` must be out together with it. `held`, `back`, `drop`: what is to become of it."""
 
@@ -151,7 +151,7 @@
 # What members ask for.
 
 
-def asks(wishes: Iterable[Wish], work: Work, own: str) -> tuple[tuple, ...]:
+def asks(wishes: Iterable[WorkRequest], work: Work, own: str) -> tuple[tuple, ...]:
     """What the member `own` publishes so long as its wishes and the document differ: (verb, ident, ...)."""
     wishes, found = list(wishes), []
     for wish in wishes:
@@ -182,12 +182,12 @@
         raise BadOrder("asks: a verb and a name wanted")
     if raw[0] != "add":
         return raw[0], raw[1]
-    wish = row(Wish, (*raw[1:], False, False), "asks.add")
+    wish = row(WorkRequest, (*raw[1:], False, False), "asks.add")
     check(wish, "asks.add")
     return ("add", *wish[:4], tuple(wish.beside), wish.held)
 
 
-def check(wish: Wish, path: str) -> None:
+def check(wish: WorkRequest, path: str) -> None:
     """Raises BadOrder."""
     if not 0 < len(wish.machine) <= MOST_NAME:
         raise BadOrder(f"{path}.machine: a name of up to {MOST_NAME} characters wanted")
--- a/fieldspur/fleet/work_requests.py
+++ b/fieldspur/fleet/work_requests.py
@@ -6,16 +6,16 @@
 import json
 from typing import Any
 
-from fieldspur.fleet.work_orders import MOST_NAME, MOST_ORDERS, BadOrder, Wish, check
+from fieldspur.fleet.work_orders import MOST_NAME, MOST_ORDERS, BadOrder, WorkRequest, check
 
 KEYS = {"machine": str, "needs_s": (int, float), "before": (int, float), "with": list, "id": str, "hold": bool, "back": bool, "drop": bool}
 
 
-def wishes_of(rows: Any, path: str) -> list[Wish]:
+def wishes_of(rows: Any, path: str) -> list[WorkRequest]:
     """The wishes of the file's list; raises BadOrder, whose text begins with the path of the faulty key."""
     if len(rows) > MOST_ORDERS:
         raise BadOrder(f"{path}: {len(rows)} orders, {MOST_ORDERS} at most; take out those that are done")
-    found: dict[str, Wish] = {}
+    found: dict[str, WorkRequest] = {}
     machines: dict[str, str] = {}
     for n, row in enumerate(rows):
         at = f"{path}[{n}]"
@@ -26,7 +26,7 @@
                 raise BadOrder(f"{at}.{name}: of another kind than wanted")
         if "machine" not in row:
             raise BadOrder(f"{at}.machine: missing")
-        wish = Wish(
+        wish = WorkRequest(
             row.get("id") or ident(row),
             row["machine"],
             float(row.get("needs_s", 0.0)),
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -126,7 +126,7 @@
         return made
 
     def ask(self, n, machine, **more):
-        wish = work_orders.Wish(more.pop("ident", f"w-{machine}"), machine, more.pop("needs", 1.0))._replace(**more)
+        wish = work_orders.WorkRequest(more.pop("ident", f"w-{machine}"), machine, more.pop("needs", 1.0))._replace(**more)
         self.wished[n][:] = [one for one in self.wished[n] if one.ident != wish.ident] + [wish]
 
     def start(self, n):
