--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -227,14 +227,14 @@
             time.sleep(0.01)
 
 
-def wishes_of(environ) -> Operators:
+def parse_requests(environ) -> Operators:
     """What the operators' file sets; without one, all as it is by default."""
     return read(environ["LB_OPERATORS"]) if environ.get("LB_OPERATORS") else Operators()
 
 
 def files_of(environ) -> tuple[Node, Operators]:
     """Both files, checked. Where the system has no room to open one now, that is tried again for a while. Raises BadSite, BadFile."""
-    return retry_while_exhausted(lambda: (read_node(environ), wishes_of(environ)), (Unopened, UnopenedFile), FILE_PAUSE)
+    return retry_while_exhausted(lambda: (read_node(environ), parse_requests(environ)), (Unopened, UnopenedFile), FILE_PAUSE)
 
 
 def level_of(node: Node, wishes: Operators) -> int:
--- a/fieldspur/fleet/work_requests.py
+++ b/fieldspur/fleet/work_requests.py
@@ -11,7 +11,7 @@
 KEYS = {"machine": str, "needs_s": (int, float), "before": (int, float), "with": list, "id": str, "hold": bool, "back": bool, "drop": bool}
 
 
-def wishes_of(rows: Any, path: str) -> list[WorkRequest]:
+def parse_requests(rows: Any, path: str) -> list[WorkRequest]:
     """The wishes of the file's list; raises BadOrder, whose text begins with the path of the faulty key."""
     if len(rows) > MOST_ORDERS:
         raise BadOrder(f"{path}: {len(rows)} orders, {MOST_ORDERS} at most; take out those that are done")
--- a/fieldspur/operators.py
+++ b/fieldspur/operators.py
@@ -174,10 +174,10 @@
     for n, name in enumerate(value.left):
         if name in (value.votes or value.members):
             raise BadFile(f"{path}.left[{n}]: {name} votes")
-    from fieldspur.fleet.work_requests import BadOrder, wishes_of  # only where there is a fleet
+    from fieldspur.fleet.work_requests import BadOrder, parse_requests  # only where there is a fleet
 
     try:
-        wishes_of(value.work, f"{path}.work")
+        parse_requests(value.work, f"{path}.work")
     except BadOrder as wrong:
         raise BadFile(str(wrong)) from None
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -7,7 +7,7 @@
 
 from fieldspur.fleet import coordinator, planner, work_orders
 from fieldspur.fleet.list_lease import Granted, Listed
-from fieldspur.fleet.work_requests import wishes_of
+from fieldspur.fleet.work_requests import parse_requests
 from fieldspur.operators import BadFile, parse
 
 
@@ -527,5 +527,5 @@
 
 
 def test_the_same_wish_in_two_files_is_the_same_order():
-    one, two = (wishes_of([{"machine": "c1", "needs_s": 3, **more}], "x")[0] for more in ({}, {"hold": True}))
-    assert one.ident == two.ident and wishes_of([{"machine": "c1", "needs_s": 4}], "x")[0].ident != one.ident
+    one, two = (parse_requests([{"machine": "c1", "needs_s": 3, **more}], "x")[0] for more in ({}, {"hold": True}))
+    assert one.ident == two.ident and parse_requests([{"machine": "c1", "needs_s": 4}], "x")[0].ident != one.ident
