--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -52,7 +52,7 @@
 
     def member(self, n: int, name: str):
         coordinator = Coordinator(self.names, name, self.zone(name), self.length, BOUNDS, False, LONGEST, WARM)
-        coordinator.wishes, nonce = self.wishes[name], self.random.randrange(1, 1 << 40)
+        coordinator.requests, nonce = self.wishes[name], self.random.randrange(1, 1 << 40)
         if name in self.names:
             return Node("sized", consensus.blank(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, coordinator)
         return Follower("sized", name, nonce, self.votes, self.now, self.length, coordinator)
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -121,7 +121,7 @@
 
     def coordinator(self, n):
         made = Coordinator([f"r{m}" for m in range(self.settle)], f"r{n}", "east", LENGTH, self.bounds, self.strict, LONGEST, WARM)
-        made.wishes = self.wished[n]
+        made.requests = self.wished[n]
         self.planted(made)
         return made
 
