--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -124,7 +124,7 @@
                 cost.lines += 1
                 self.note(member.coordinator.work)
 
-    def note(self, found: work_orders.Work) -> None:
+    def note(self, found: work_orders.WorkDocument) -> None:
         for order in found.orders:
             if self.seen.setdefault((order.ident, order.state), self.now) == self.now and order.state == work_orders.FREE:
                 if not any(machine == order.machine for _, machine in self.restarts):
@@ -144,7 +144,7 @@
         self.run(60, lambda: self.acting() is not None and len(self.latest().routers) == len(self.all) - self.votes)
         self.run(2)
 
-    def latest(self) -> work_orders.Work:
+    def latest(self) -> work_orders.WorkDocument:
         return max((self.members[name].coordinator.work for name in self.names), key=lambda one: one.number)
 
     def ask(self, name: str, ident: str, machine: str) -> None:
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -36,7 +36,7 @@
     life: int
     ballot: tuple
     ticks: bool  # it asks to act, and others keep the promise as far as it says
-    work: work_orders.Work
+    work: work_orders.WorkDocument
     report: Report | None
 
 
@@ -97,7 +97,7 @@
     return found
 
 
-def latest(found: dict[str, Told | str]) -> work_orders.Work:
+def latest(found: dict[str, Told | str]) -> work_orders.WorkDocument:
     return max((one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.NOTHING)
 
 
@@ -154,7 +154,7 @@
     return row.get("id") or ident(row)
 
 
-def add(path: Path, document: work_orders.Work, machine: str, needs: float, before: float = 0.0, beside: tuple = ()) -> str:
+def add(path: Path, document: work_orders.WorkDocument, machine: str, needs: float, before: float = 0.0, beside: tuple = ()) -> str:
     """A new order, under a name of its own, so that a machine may be worked on again later. Those that have ended by the document
     leave the file."""
     over = {one.ident for one in document.ended}
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -484,5 +484,5 @@
                     self.bore[order.machine] = mine / load
 
 
-def plain(of: work_orders.Work) -> list:
+def plain(of: work_orders.WorkDocument) -> list:
     return [[one._replace(note="") for one in of.orders], of.ended]
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -307,7 +307,7 @@
             return self.coordinator.in_doubt(now())
         return not self.coordinator.listed.holds(now())
 
-    def tell(self, found: work_orders.Work) -> None:
+    def tell(self, found: work_orders.WorkDocument) -> None:
         """A line of the log for each order that went a step further."""
         before, self.shown = self.shown, found
         if found is before:
--- a/fieldspur/lab/checks/work_order_checker.py
+++ b/fieldspur/lab/checks/work_order_checker.py
@@ -20,7 +20,7 @@
 
     def __init__(self, checker: Checker, many: int, open_at: Callable[[str], list], most: int):
         self.checker, self.many, self.open_at, self.most = checker, many, open_at, most
-        self.documents: dict[int, work_orders.Work] = {}
+        self.documents: dict[int, work_orders.WorkDocument] = {}
         self.broken: list[str] = []
         self.states: dict[str, str] = {}  # by order
         self.steps: list[tuple[int, str, str, str]] = []  # (when, machine, state, order)
@@ -56,7 +56,7 @@
         elif known != found:
             self.broke(f"document {found.number} is not the same at member {member}")
 
-    def follow(self, found: work_orders.Work, now: int) -> None:
+    def follow(self, found: work_orders.WorkDocument, now: int) -> None:
         for order in found.orders:
             if order.note and self.notes.get(order.ident) != order.note:
                 self.words.append((now, order.machine, order.note))
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -33,7 +33,7 @@
         self.nonces = [1, 2, 3]
         self.lines = [None] * 3
         order = work_orders.Order("a", "elsewhere", "c0", 9.0, 0.0, (), work_orders.NEXT, 1, 0, 1)
-        self.documents.append(work_orders.Work(1, (order,)))
+        self.documents.append(work_orders.WorkDocument(1, (order,)))
         for n, one in enumerate(self.members):
             one.know(register_codec.freeze(work_orders.value(self.documents[1])))
             one.applied(1, {"c0": 0})
