--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -301,8 +301,8 @@
 
     # How who acts sees the whole.
 
-    def sight(self, now: int) -> work_orders.Sight:
-        return work_orders.Sight(
+    def sight(self, now: int) -> work_orders.FleetView:
+        return work_orders.FleetView(
             self.wall,
             self.board,
             self.park(now),
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -215,7 +215,7 @@
     rating: float = 0.0
 
 
-class Sight(NamedTuple):
+class FleetView(NamedTuple):
     """All that the successor of a document depends on, besides what is asked. Names are of members."""
 
     now: int  # Unix ms
@@ -235,7 +235,7 @@
     return ", ".join(found[:3]) + (f" and {len(found) - 3} more" if len(found) > 3 else "")
 
 
-def refusal(work: Work, ask: tuple, by: str, sight: Sight) -> str:
+def refusal(work: Work, ask: tuple, by: str, sight: FleetView) -> str:
     """Why an order can't be taken; '' where it can."""
     machine = ask[2]
     same = next((one for one in work.orders if one.machine == machine), None)
@@ -260,7 +260,7 @@
     return work._replace(routers=tuple(sorted((*work.routers, name))))
 
 
-def taken(work: Work, asked: Iterable[tuple[str, tuple]], sight: Sight) -> Work:
+def taken(work: Work, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> Work:
     """The document with what members ask for: (member, ask) each, in an order that does not matter to what is refused twice."""
     number, asked = work.number + 1, sorted(asked)
     for by, ask in asked:
@@ -328,7 +328,7 @@
     return f"nobody asked for {lacking[0]}" if lacking else f"{held[0]} is held" if held else ""
 
 
-def units(work: Work, sight: Sight) -> tuple[list, list, dict]:
+def units(work: Work, sight: FleetView) -> tuple[list, list, dict]:
     """Those that may begin, those that are away with s until they are back, and what the others wait for, by ident."""
     free, running, notes, seen = [], [], {}, set()
     for order in work.orders:
@@ -352,14 +352,14 @@
     return free, running, notes
 
 
-def left(order: Order, sight: Sight) -> float:
+def left(order: Order, sight: FleetView) -> float:
     """s until it is back, as planned, and a second at the least: what is late is not back yet."""
     spent = max(0.0, (sight.now - order.since) / 1000)
     parts = {BACK: sight.warm, FREE: order.needs + sight.warm}.get(order.state, sight.drain + order.needs + sight.warm)
     return max(1.0, parts - spent)
 
 
-def succeed(work: Work, asked: Iterable[tuple[str, tuple]], sight: Sight) -> Work | None:
+def succeed(work: Work, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> Work | None:
     """The document that follows, None where nothing does."""
     found = taken(work, asked, sight)
     number = work.number + 1
@@ -375,7 +375,7 @@
     return found._replace(number=number)
 
 
-def follows(order: Order, work: Work, sight: Sight, number: int) -> Order | None:
+def follows(order: Order, work: Work, sight: FleetView, number: int) -> Order | None:
     """An order's next state by what is seen; None where it is done. Each step asks all members, never a timer alone."""
     state, now = order.state, sight.now
     listing = sight.board.get(order.machine, Listing())
@@ -414,7 +414,7 @@
     return order if order.note == note else order._replace(note=note)
 
 
-def chosen(work: Work, sight: Sight, number: int) -> Work:
+def chosen(work: Work, sight: FleetView, number: int) -> Work:
     """Announces what the plan begins next, lets go what all were told of, and takes back what the bounds forbid by now."""
     free, running, notes = units(work, sight)
     out = frozenset(machine for unit, _ in running for machine in unit.machines)
@@ -457,5 +457,5 @@
     return work
 
 
-def waits(unit: planner.Unit, out: frozenset, sight: Sight) -> str:
+def waits(unit: planner.Unit, out: frozenset, sight: FleetView) -> str:
     return sight.park.forbids(out | unit.machines) or sight.park.forbids(unit.machines) or "its turn comes"
