--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -315,7 +315,7 @@
             lambda order: self.bears(order, now),
         )
 
-    def plans(self, free: list, running: list, park: planner.Park, now: int) -> planner.Plan:
+    def plans(self, free: list, running: list, park: planner.MachinePool, now: int) -> planner.Plan:
         """A plan costs some 30 ms for a dozen units: it is made anew where what it is made for differs, and now and then."""
         about = (
             [unit._replace(before=0.0) for unit in free],
@@ -388,14 +388,14 @@
         )
         return [mine, *(one for name, one in self.reports.items() if name not in self.gone)]
 
-    def park(self, now: int) -> planner.Park:
+    def park(self, now: int) -> planner.MachinePool:
         """As `made`, which looks at the whole board: anew where the board or the document is another, and a few times a second."""
         about = (id(self.board), self.work.number, self.wanted)
         if about != self.parked_for or now - self.parked_at >= PARK_EVERY:
             self.parked_for, self.parked_at, self.parked = about, now, self.made()
         return self.parked
 
-    def made(self) -> planner.Park:
+    def made(self) -> planner.MachinePool:
         """All machines, by what live routers say of them. Each router sees the caches of its own location, and all parents; those that
         nobody speaks of by themselves stand together, as one that is never asked for."""
         live = self.live()
@@ -442,7 +442,7 @@
                 trouble[zone] = "no router there tells its load"
             elif every >= FEW and turned > BUSY_TROUBLE * every:
                 trouble[zone] = "txns are turned away there"
-        return planner.Park(machines, self.bounds, trouble)
+        return planner.MachinePool(machines, self.bounds, trouble)
 
     def bears(self, order: work_orders.Order, now: int) -> str:
         """What a machine that is back still lacks."""
@@ -463,7 +463,7 @@
             return f"bears {mine:.1f} of {wanted:.1f} transfers"
         return ""
 
-    def part(self, machine: str, park: planner.Park) -> tuple[float, float, float]:
+    def part(self, machine: str, park: planner.MachinePool) -> tuple[float, float, float]:
         """The load of the machine's location, the machine's own, and its share were the load even; no load where little is to do."""
         own = park.machines.get(machine)
         if own is None:
--- a/fieldspur/fleet/planner.py
+++ b/fieldspur/fleet/planner.py
@@ -61,7 +61,7 @@
     floor: float  # no plan within the bounds can be shorter
 
 
-class Park:
+class MachinePool:
     """The machines, and what the bounds say about sets of them being out; answers are remembered."""
 
     def __init__(self, machines: dict[str, Machine], bounds: Bounds, trouble: dict[str, str] | None = None):
@@ -149,7 +149,7 @@
         return sum(a / total * b / max(total - a, 1e-9) for a, b in itertools.permutations(sizes, 2))
 
 
-def schedule(order: Iterable[Unit], running: list[tuple[Unit, float]], park: Park) -> list[Step]:
+def schedule(order: Iterable[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> list[Step]:
     """Each unit as early as the bounds let it, in that order; `running`: those that are out, and s until they are back."""
     placed = [(unit.machines, 0.0, left) for unit, left in running]
     steps = []
@@ -186,7 +186,7 @@
         yield sorted(units, key=lambda u: (key(u), u.name))
 
 
-def improved(best: list[Unit], found: tuple, running, park: Park, by_name: dict) -> list[Unit]:
+def improved(best: list[Unit], found: tuple, running, park: MachinePool, by_name: dict) -> list[Unit]:
     """One exchange after the other, nearer places first, as long as it pays and up to a bound."""
     tried, better, most = 0, True, min(EXCHANGES, LOOKS // len(best) ** 2)
     while better and tried < most:
@@ -204,7 +204,7 @@
     return best
 
 
-def floor(units: list[Unit], running: list[tuple[Unit, float]], park: Park) -> float:
+def floor(units: list[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> float:
     """No plan is shorter: the longest unit; those of which no two may be out together, one after the other."""
     rows = [(unit.machines, unit.takes) for unit in units] + [(unit.machines, left) for unit, left in running]
     least = max((takes for _, takes in rows), default=0.0)
@@ -226,9 +226,9 @@
     return least
 
 
-def plan(units: list[Unit], running: list[tuple[Unit, float]], park: Park) -> Plan:
+def plan(units: list[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> Plan:
     """The shortest order found, from what is out now. Units that could not go even alone, with all others well, are impossible;
-    those that only wait for something stay out of the steps until it is over (`Park.forbids` says what for)."""
+    those that only wait for something stay out of the steps until it is over (`MachinePool.forbids` says what for)."""
     impossible = {unit.name: why for unit in units if (why := park.forbids(unit.machines, True))}
     units = [unit for unit in units if unit.name not in impossible]
     by_name = {unit.name: unit for unit in units}
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -220,13 +220,13 @@
 
     now: int  # Unix ms
     board: dict  # machine: Listing
-    park: planner.Park
+    park: planner.MachinePool
     drain: float  # s that a drain takes, as seen
     warm: float  # s until a cold machine bears its part
     not_told: Callable[[int], list]  # who has not said that it applied that number
     may_use: Callable[[int], list]  # who has not, and may still hold a lease
     open_at: Callable[[str, int], list]  # who may have hops or fills open at that machine, gone in that number
-    plans: Callable[[list, list, planner.Park], planner.Plan]  # `plan.plan`, which may answer as it did a moment ago
+    plans: Callable[[list, list, planner.MachinePool], planner.Plan]  # `plan.plan`, which may answer as it did a moment ago
     bears: Callable[[Order], str]  # what a machine that is back still lacks, '' where it bears its part
 
 
--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -279,6 +279,6 @@
             if model.kind in ("std", "parent")
         }
         names = {"fills_s": "fills"}
-        park = planner.Park(machines, planner.Bounds(**{names.get(key, key): to for key, to in fleet.bounds.items()}))
+        park = planner.MachinePool(machines, planner.Bounds(**{names.get(key, key): to for key, to in fleet.bounds.items()}))
         units = [planner.Unit(f"{n}", frozenset((ask.machine,)), DRAIN + ask.needs_s + servers.ramp_s) for n, ask in enumerate(fleet.work)]
         return planner.plan(units, [], park).floor if units else 0.0
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fieldspur.fleet.planner import Bounds, Machine, Park, Unit, plan, schedule
+from fieldspur.fleet.planner import Bounds, Machine, MachinePool, Unit, plan, schedule
 
 
 def caches(many, zone="north", capacity=10.0, load=1.0, **more):
@@ -17,7 +17,7 @@
 
 
 def forbidden(machines, names, trouble=None, **bounds):
-    return Park(machines, Bounds(**{"zone": 1.0, "all": 1.0, "both": 1.0, "headroom": 1.0} | bounds), trouble).forbids(frozenset(names))
+    return MachinePool(machines, Bounds(**{"zone": 1.0, "all": 1.0, "both": 1.0, "headroom": 1.0} | bounds), trouble).forbids(frozenset(names))
 
 
 @pytest.mark.parametrize(
@@ -77,25 +77,25 @@
     for _ in range(40_000):
         first = sorted(names, key=lambda name: chance.expovariate(machines[name].capacity))[:2]
         lost += set(first) == gone
-    park = Park(machines, Bounds())
+    park = MachinePool(machines, Bounds())
     assert park.both(names, sorted(gone), 60.0) == pytest.approx(lost / 40_000, abs=0.01)
 
 
 def test_no_plan_is_said_plainly_with_the_bound_that_forbids_it():
     machines = caches(2) | caches(8, "south")
-    found = plan([Unit("a", out("n0"), 5.0), Unit("b", out("s0"), 5.0)], [], Park(machines, Bounds()))
+    found = plan([Unit("a", out("n0"), 5.0), Unit("b", out("s0"), 5.0)], [], MachinePool(machines, Bounds()))
     assert found.impossible == {"a": "north: 0.50 of its capacity out, bounds.zone allows 0.34"}
     assert [step.unit for step in found.steps] == ["b"] and found.length == 5.0
 
 
 def test_what_is_running_is_accounted_for():
-    park = Park(caches(6), Bounds(zone=0.34, all=0.34, both=1.0))
+    park = MachinePool(caches(6), Bounds(zone=0.34, all=0.34, both=1.0))
     found = plan([Unit("a", out("n0"), 5.0)], [(Unit("x", out("n1"), 9.0), 4.0), (Unit("y", out("n2"), 9.0), 6.0)], park)
     assert found.steps[0].start == 4.0 and found.length == 9.0
 
 
 def test_what_is_wanted_sooner_goes_first():
-    park = Park(caches(6), Bounds())
+    park = MachinePool(caches(6), Bounds())
     found = plan([Unit("long", out("n0"), 50.0), Unit("soon", out("n1"), 5.0, before=10.0)], [], park)
     assert [step.unit for step in found.steps] == ["soon", "long"]
 
@@ -149,14 +149,14 @@
 def test_small_plans_are_as_short_as_any_and_keep_all_bounds_at_every_moment(seed):
     chance = random.Random(seed)
     machines, bounds, units = drawn(chance, chance.randrange(2, 5))
-    park = Park(machines, bounds)
+    park = MachinePool(machines, bounds)
     found = plan(units, [], park)
     by_name = {unit.name: unit for unit in units}
     possible = [unit for unit in units if unit.name not in found.impossible]
     assert {step.unit for step in found.steps} == {unit.name for unit in possible}
     for at in {step.start for step in found.steps}:
         running = frozenset().union(*(by_name[step.unit].machines for step in found.steps if step.start <= at < step.end))
-        assert not Park(machines, bounds).forbids(running)
+        assert not MachinePool(machines, bounds).forbids(running)
     if possible:
         assert found.length == shortest(possible, park)
         assert found.floor <= found.length
@@ -167,7 +167,7 @@
 def test_larger_plans_come_near_their_floor_and_any_order_keeps_the_bounds():
     """Twelve of thirty boxes, as the laboratory plays it."""
     chance = random.Random(5)
-    park = Park(caches(30), Bounds(zone=0.1, all=0.1, both=0.01))
+    park = MachinePool(caches(30), Bounds(zone=0.1, all=0.1, both=0.01))
     units = [Unit(f"n{n}", out(f"n{n}"), chance.uniform(3.0, 9.0)) for n in range(12)]
     found = plan(units, [], park)
     ideal = sum(unit.takes for unit in units) / 3
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -20,7 +20,7 @@
     """What is not searched here is left out: loads, words for operators."""
 
     def park(self, now):
-        return planner.Park({name: planner.Machine("east", False, 10.0, 0.0, 0.0) for name in BOARD}, BOUNDS)
+        return planner.MachinePool({name: planner.Machine("east", False, 10.0, 0.0, 0.0) for name in BOARD}, BOUNDS)
 
 
 class State:
