--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -64,9 +64,9 @@
         if wishes.fleet.name:  # off by default; only then is any of it imported
             if node.name not in wishes.fleet.members:
                 raise BadFile(f"fleet.members: {node.name}, this router, is not among them")
-            from fieldspur.fleet.list_overlay import Overlay
+            from fieldspur.fleet.list_overlay import ServerListOverlay
 
-            overlay = Overlay(self.route)
+            overlay = ServerListOverlay(self.route)
         self.board = self.send.board = DiscoveryClient(node.board, overlay or self.route, node.seed)
         self.board.begin(node.known, node.known_to)
         self.client_listener = ClientListener(
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -26,7 +26,7 @@
     return float(f"{value:.3g}")
 
 
-class Overlay:
+class ServerListOverlay:
     """Takes the board's word in the place of `route`, and hands it on."""
 
     def __init__(self, route):
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -15,7 +15,7 @@
 from fieldspur.fleet import consensus, planner, register_codec, work_orders
 from fieldspur.fleet.coordinator import Coordinator, bare
 from fieldspur.fleet.follower import Follower
-from fieldspur.fleet.list_overlay import Overlay
+from fieldspur.fleet.list_overlay import ServerListOverlay
 from fieldspur.fleet.member import Node
 from fieldspur.fleet.register_store import NotKept, NotRead, Store
 from fieldspur.fleet.work_requests import parse_requests
@@ -95,7 +95,7 @@
     """A member with its threads. `overlay` shows the router what is out. Raises NotKept where its folder can't be used, OSError
     where it can't listen."""
 
-    def __init__(self, wishes: Fleet, own: str, seed: int, overlay: Overlay):
+    def __init__(self, wishes: Fleet, own: str, seed: int, overlay: ServerListOverlay):
         self.names = sorted(wishes.votes or wishes.members)
         self.wishes, self.own, self.seed, self.overlay = wishes, own, seed, overlay
         many, length = len(self.names), int(wishes.lease_s * 1e9)
