--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -11,7 +11,7 @@
 from fieldspur.fleet.lease import MOST_TICKS
 
 
-class Listed:
+class ListLease:
     """The asker's side."""
 
     def __init__(self, length: int, drift: float = 0.01):
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -8,7 +8,7 @@
 
 from fieldspur.fleet import consensus, planner, register_codec, work_orders
 from fieldspur.fleet.coordinator import Coordinator
-from fieldspur.fleet.list_lease import Granted, Listed
+from fieldspur.fleet.list_lease import Granted, ListLease
 
 LENGTH, LONGEST, UNIT = 2, 1, 6  # of moments; UNIT: ns of one, so that a beat is a part of a lease
 ACTS, OTHER, ROUTER = range(3)
@@ -235,7 +235,7 @@
         return now >= self.at.get(member, 0) + self.length
 
 
-class FromReceipt(Listed):
+class FromReceipt(ListLease):
     """A lease that runs from when the grant came, not from when it was asked for."""
 
     def granted(self, count):
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -6,7 +6,7 @@
 from simulated_fleet import LENGTH, LONGEST, MS, SECOND, Yard
 
 from fieldspur.fleet import coordinator, planner, work_orders
-from fieldspur.fleet.list_lease import Granted, Listed
+from fieldspur.fleet.list_lease import Granted, ListLease
 from fieldspur.fleet.work_requests import parse_requests
 from fieldspur.operators import BadFile, parse
 
@@ -444,7 +444,7 @@
 
 
 def test_a_lease_on_the_list_runs_from_when_it_was_asked_for_and_ends_by_itself():
-    mine = Listed(1000, drift=0.0)
+    mine = ListLease(1000, drift=0.0)
     first = mine.ask(100)
     mine.ask(900)
     mine.granted(first)  # a grant that lay in a buffer
