--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -9,7 +9,7 @@
 from typing import Any, NamedTuple
 
 from fieldspur.fleet import planner, register_codec, work_orders
-from fieldspur.fleet.list_lease import Granted, ListLease
+from fieldspur.fleet.list_lease import GrantedListLeases, ListLease
 
 WELL, EJECTED, COLD = 0, 1, 2  # how a router finds a server
 MOST_LOADS = 512  # servers that one member tells of
@@ -115,7 +115,7 @@
         self.bounds, self.strict, self.longest, self.warm = bounds, strict, longest, warm
         self.beat, self.ask_every = length // 6, length // ASKS
         self.wishes: list[work_orders.WorkRequest] = []
-        self.listed, self.granted = ListLease(length), Granted(length)
+        self.listed, self.granted = ListLease(length), GrantedListLeases(length)
         self.left: list[str] = []  # routers that an operator takes out
         self.reports: dict[str, Report] = {}
         self.silent: set[str] = set()  # members whose lines say nothing of work: an older version
--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -38,7 +38,7 @@
         return now < self.until
 
 
-class Granted:
+class GrantedListLeases:
     """The side of who acts. Nothing is known while `since` is 0: it does not act."""
 
     def __init__(self, length: int):
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -8,7 +8,7 @@
 
 from fieldspur.fleet import consensus, planner, register_codec, work_orders
 from fieldspur.fleet.coordinator import Coordinator
-from fieldspur.fleet.list_lease import Granted, ListLease
+from fieldspur.fleet.list_lease import GrantedListLeases, ListLease
 
 LENGTH, LONGEST, UNIT = 2, 1, 6  # of moments; UNIT: ns of one, so that a beat is a part of a lease
 ACTS, OTHER, ROUTER = range(3)
@@ -223,12 +223,12 @@
     assert history is None and states > 4_000
 
 
-class EndsEarly(Granted):
+class EndsEarly(GrantedListLeases):
     def ended(self, member, now, more=0):
         return super().ended(member, now + UNIT, more)
 
 
-class NoWait(Granted):
+class NoWait(GrantedListLeases):
     """Who begins to act does not wait for leases that another may have given."""
 
     def ended(self, member, now, more=0):
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -6,7 +6,7 @@
 from simulated_fleet import LENGTH, LONGEST, MS, SECOND, Yard
 
 from fieldspur.fleet import coordinator, planner, work_orders
-from fieldspur.fleet.list_lease import Granted, ListLease
+from fieldspur.fleet.list_lease import GrantedListLeases, ListLease
 from fieldspur.fleet.work_requests import parse_requests
 from fieldspur.operators import BadFile, parse
 
@@ -456,7 +456,7 @@
 
 
 def test_who_begins_to_act_waits_for_leases_that_another_may_have_given():
-    theirs = Granted(1000)
+    theirs = GrantedListLeases(1000)
     assert not theirs.ended(1, 10_000)
     theirs.acts(True, 500)
     assert not theirs.ended(1, 1499) and theirs.ended(1, 1500)
