--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -250,7 +250,7 @@
         self.reports[name] = found
         for to, process, count in rows:
             if to == self.own and process == own_nonce:
-                self.listed.granted(count)
+                self.listed.renew(count)
 
     # The passing of time.
 
@@ -278,7 +278,7 @@
                 self.grants[name] = (one.nonce, one.count)
                 self.granted.grant(name, now)
         if self.holds >= least:
-            self.listed.granted(self.listed.count)  # it acts: nobody else decides meanwhile
+            self.listed.renew(self.listed.count)  # it acts: nobody else decides meanwhile
 
     def succeed(self, value: Any, now: int) -> Any:
         """The value that follows, None where nothing does: of who acts, a few times a beat."""
--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -27,7 +27,7 @@
             del self.told[min(self.told)]
         return self.count
 
-    def granted(self, count: int) -> None:
+    def renew(self, count: int) -> None:
         """Who acts read that count. One that was forgotten, or of a process before, gives nothing."""
         at = self.told.get(count)
         if at is not None:
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -238,8 +238,8 @@
 class FromReceipt(ListLease):
     """A lease that runs from when the grant came, not from when it was asked for."""
 
-    def granted(self, count):
-        super().granted(count)
+    def renew(self, count):
+        super().renew(count)
         self.until += UNIT
 
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -447,11 +447,11 @@
     mine = ListLease(1000, drift=0.0)
     first = mine.ask(100)
     mine.ask(900)
-    mine.granted(first)  # a grant that lay in a buffer
+    mine.renew(first)  # a grant that lay in a buffer
     assert mine.holds(1099) and not mine.holds(1100)
-    mine.granted(77)  # of a process before
+    mine.renew(77)  # of a process before
     assert not mine.holds(1100)
-    mine.granted(2)
+    mine.renew(2)
     assert mine.holds(1899)
 
 
