--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -115,7 +115,7 @@
         self.bounds, self.strict, self.longest, self.warm = bounds, strict, longest, warm
         self.beat, self.ask_every = length // 6, length // ASKS
         self.wishes: list[work_orders.WorkRequest] = []
-        self.listed, self.granted = ListLease(length), GrantedListLeases(length)
+        self.listed, self.granted_leases = ListLease(length), GrantedListLeases(length)
         self.left: list[str] = []  # routers that an operator takes out
         self.reports: dict[str, Report] = {}
         self.silent: set[str] = set()  # members whose lines say nothing of work: an older version
@@ -263,7 +263,7 @@
         )
         self.acting, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
-        self.granted.acts(acting, now)
+        self.granted_leases.acts(acting, now)
         self.doubt = self.in_doubt(now)
         if (self.work.orders or self.strict) and now - self.asked_at >= self.ask_every:
             self.asked_at = now
@@ -276,7 +276,7 @@
             counts = name in self.names or name in self.work.routers  # who acts next may not know of others
             if counts and one.count and one.holds >= least and self.grants.get(name) != (one.nonce, one.count):
                 self.grants[name] = (one.nonce, one.count)
-                self.granted.grant(name, now)
+                self.granted_leases.grant(name, now)
         if self.holds >= least:
             self.listed.renew(self.listed.count)  # it acts: nobody else decides meanwhile
 
@@ -348,7 +348,7 @@
         return found + [
             name
             for name in self.others()
-            if not (name in self.reports and self.reports[name].holds >= number) and not self.granted.ended(name, now)
+            if not (name in self.reports and self.reports[name].holds >= number) and not self.granted_leases.ended(name, now)
         ]
 
     def open_at(self, machine: str, number: int, now: int) -> list[str]:
@@ -357,10 +357,10 @@
         found = [self.own] if self.holds < number or self.open.get(machine, 1) else []
         for name in self.others():
             one = self.reports.get(name)
-            if one is not None and not one.open.get(machine, 1) and (one.holds >= number or one.doubt and self.granted.ended(name, now)):
+            if one is not None and not one.open.get(machine, 1) and (one.holds >= number or one.doubt and self.granted_leases.ended(name, now)):
                 continue
             heard = one is not None and name not in self.gone
-            if not heard and self.granted.ended(name, now, self.longest + SLACK):
+            if not heard and self.granted_leases.ended(name, now, self.longest + SLACK):
                 continue
             found.append(name)
         return found
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -47,7 +47,7 @@
 
     def member(self, n):
         made = Quiet(["r0", "r1", "r2"], f"r{n}", "east", LENGTH * UNIT, BOUNDS, False, LONGEST * UNIT, 0)
-        made.beat, made.ask_every, made.granted.length, made.listed.held = 1, 1, LENGTH * UNIT, LENGTH * UNIT
+        made.beat, made.ask_every, made.granted_leases.length, made.listed.held = 1, 1, LENGTH * UNIT, LENGTH * UNIT
         made.board = BOARD
         if self.planted:
             self.planted(made)
@@ -131,8 +131,8 @@
                             (m, rep.holds, rep.doubt, rep.nonce == self.nonce(m), self.age(m, rep.count)) for m, rep in one.reports.items()
                         )
                     ),
-                    one.granted.since and min(self.now - one.granted.since, LENGTH * UNIT + 1),
-                    tuple(sorted((m, min(self.now - at, LENGTH * UNIT)) for m, at in one.granted.at.items())),
+                    one.granted_leases.since and min(self.now - one.granted_leases.since, LENGTH * UNIT + 1),
+                    tuple(sorted((m, min(self.now - at, LENGTH * UNIT)) for m, at in one.granted_leases.at.items())),
                 )
             )
         return (
@@ -179,7 +179,7 @@
         self.changes, self.acting = 1, OTHER
         self.members[ACTS].tick(self.now, False, [()], frozenset(), True)
         self.members[OTHER].know(register_codec.freeze(work_orders.value(self.documents[-1])))
-        self.members[OTHER].granted.acts(True, self.now)
+        self.members[OTHER].granted_leases.acts(True, self.now)
 
 
 def search(planted, most, depth):
@@ -212,8 +212,8 @@
 
 def twin(one):
     made = copy.copy(one)
-    made.listed, made.granted = copy.copy(one.listed), copy.copy(one.granted)
-    made.listed.told, made.granted.at = dict(one.listed.told), dict(one.granted.at)
+    made.listed, made.granted_leases = copy.copy(one.listed), copy.copy(one.granted_leases)
+    made.listed.told, made.granted_leases.at = dict(one.listed.told), dict(one.granted_leases.at)
     made.reports, made.grants, made.silent, made.back_at = dict(one.reports), dict(one.grants), set(one.silent), dict(one.back_at)
     return made
 
@@ -249,7 +249,7 @@
 
 
 def as_class(made, kind):
-    for name in ("granted", "listed"):
+    for name in ("granted_leases", "listed"):
         if issubclass(kind, type(getattr(made, name))):
             getattr(made, name).__class__ = kind
     if issubclass(kind, Quiet):
