--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -115,7 +115,7 @@
         self.bounds, self.strict, self.longest, self.warm = bounds, strict, longest, warm
         self.beat, self.ask_every = length // 6, length // ASKS
         self.wishes: list[work_orders.WorkRequest] = []
-        self.listed, self.granted_leases = ListLease(length), GrantedListLeases(length)
+        self.list_lease, self.granted_leases = ListLease(length), GrantedListLeases(length)
         self.left: list[str] = []  # routers that an operator takes out
         self.reports: dict[str, Report] = {}
         self.silent: set[str] = set()  # members whose lines say nothing of work: an older version
@@ -152,7 +152,7 @@
 
     def off(self, now: int) -> frozenset:
         """The machines that this router keeps off at this moment."""
-        return self.work.machines(work_orders.KEPT_OFF) if self.listed.holds(now) else self.announced()
+        return self.work.machines(work_orders.KEPT_OFF) if self.list_lease.holds(now) else self.announced()
 
     def announced(self) -> frozenset:
         """What may have gone since, for all this router knows."""
@@ -164,7 +164,7 @@
 
     def in_doubt(self, now: int) -> bool:
         """This router can't know what followed on what it heard, and something may have."""
-        return not self.listed.holds(now) and (self.founded if self.strict else bool(self.announced()))
+        return not self.list_lease.holds(now) and (self.founded if self.strict else bool(self.announced()))
 
     def applied(self, number: int, open_at: dict[str, int]) -> None:
         """This router keeps off what that document says; so much is still open at those machines."""
@@ -185,7 +185,7 @@
     def line(self) -> dict:
         found = {
             "holds": self.holds,
-            "count": self.listed.count,
+            "count": self.list_lease.count,
             "open": self.open,
             "strict": self.strict,
             "doubt": self.doubt,
@@ -193,7 +193,7 @@
             "asks": [list(one) for one in self.asks()],
             "zone": self.zone,
         }
-        if self.fresh_loads and self.work.orders and self.listed.count != self.told_count:
+        if self.fresh_loads and self.work.orders and self.list_lease.count != self.told_count:
             # Soft, and the largest part: with a line that goes out anyway. One that is missed is made good by the next look.
             found["loads"], found["rest"] = self.summed()
         if self.acting:
@@ -215,8 +215,8 @@
 
     def told(self) -> None:
         """What `line` gave was published."""
-        if self.listed.count != self.told_count:
-            self.told_count, self.fresh_loads = self.listed.count, False
+        if self.list_lease.count != self.told_count:
+            self.told_count, self.fresh_loads = self.list_lease.count, False
 
     def heard(self, value: dict, name: str, nonce: int, own_nonce: int, agreed: Iterable = ()) -> None:
         """A line of that member or follower, with the values in its register; raises BadLine."""
@@ -250,7 +250,7 @@
         self.reports[name] = found
         for to, process, count in rows:
             if to == self.own and process == own_nonce:
-                self.listed.renew(count)
+                self.list_lease.renew(count)
 
     # The passing of time.
 
@@ -267,7 +267,7 @@
         self.doubt = self.in_doubt(now)
         if (self.work.orders or self.strict) and now - self.asked_at >= self.ask_every:
             self.asked_at = now
-            self.listed.ask(now)
+            self.list_lease.ask(now)
         if not acting:
             self.grants = {}
             return
@@ -278,7 +278,7 @@
                 self.grants[name] = (one.nonce, one.count)
                 self.granted_leases.grant(name, now)
         if self.holds >= least:
-            self.listed.renew(self.listed.count)  # it acts: nobody else decides meanwhile
+            self.list_lease.renew(self.list_lease.count)  # it acts: nobody else decides meanwhile
 
     def succeed(self, value: Any, now: int) -> Any:
         """The value that follows, None where nothing does: of who acts, a few times a beat."""
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -47,7 +47,7 @@
 
     def member(self, n):
         made = Quiet(["r0", "r1", "r2"], f"r{n}", "east", LENGTH * UNIT, BOUNDS, False, LONGEST * UNIT, 0)
-        made.beat, made.ask_every, made.granted_leases.length, made.listed.held = 1, 1, LENGTH * UNIT, LENGTH * UNIT
+        made.beat, made.ask_every, made.granted_leases.length, made.list_lease.held = 1, 1, LENGTH * UNIT, LENGTH * UNIT
         made.board = BOARD
         if self.planted:
             self.planted(made)
@@ -106,7 +106,7 @@
 
     def age(self, n, count):
         n = n if type(n) is int else int(n[1:])
-        at = self.members[n].listed.told.get(count)
+        at = self.members[n].list_lease.told.get(count)
         return min(self.now - at, (LENGTH + 1) * UNIT) if at is not None else -1
 
     def key(self):
@@ -118,7 +118,7 @@
                 (
                     one.work.number,
                     one.holds,
-                    max(0, one.listed.until - self.now),
+                    max(0, one.list_lease.until - self.now),
                     said["holds"],
                     said["doubt"],
                     said["count"] > 0,
@@ -212,8 +212,8 @@
 
 def twin(one):
     made = copy.copy(one)
-    made.listed, made.granted_leases = copy.copy(one.listed), copy.copy(one.granted_leases)
-    made.listed.told, made.granted_leases.at = dict(one.listed.told), dict(one.granted_leases.at)
+    made.list_lease, made.granted_leases = copy.copy(one.list_lease), copy.copy(one.granted_leases)
+    made.list_lease.told, made.granted_leases.at = dict(one.list_lease.told), dict(one.granted_leases.at)
     made.reports, made.grants, made.silent, made.back_at = dict(one.reports), dict(one.grants), set(one.silent), dict(one.back_at)
     return made
 
@@ -249,7 +249,7 @@
 
 
 def as_class(made, kind):
-    for name in ("granted_leases", "listed"):
+    for name in ("granted_leases", "list_lease"):
         if issubclass(kind, type(getattr(made, name))):
             getattr(made, name).__class__ = kind
     if issubclass(kind, Quiet):
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -398,7 +398,7 @@
 
 
 def no_lease(made):
-    made.listed.holds = lambda now: True
+    made.list_lease.holds = lambda now: True
 
 
 def eager_out(made):
@@ -439,7 +439,7 @@
     for name, holds in (("r1", 3), ("r2", 5)):
         made.reports[name] = coordinator.Report(7, holds, 4, {}, False, False, {}, (), (0, 0), (), "east")
     made.tick(SECOND, True, [None, may_be, may_be], frozenset(), True)
-    assert made.line()["work"]["grants"] == [["r2", 7, 4]] and not made.listed.holds(SECOND)
+    assert made.line()["work"]["grants"] == [["r2", 7, 4]] and not made.list_lease.holds(SECOND)
     assert made.may_use(5, 9 * SECOND) == ["r0"] and made.may_use(6, 2 * SECOND) == ["r0", "r1", "r2"]
 
 
