--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -152,7 +152,7 @@
 
     def off(self, now: int) -> frozenset:
         """The machines that this router keeps off at this moment."""
-        return self.work.machines(work_orders.KEPT_OFF) if self.list_lease.holds(now) else self.announced()
+        return self.work.machines(work_orders.KEPT_OFF) if self.list_lease.is_held(now) else self.announced()
 
     def announced(self) -> frozenset:
         """What may have gone since, for all this router knows."""
@@ -164,7 +164,7 @@
 
     def in_doubt(self, now: int) -> bool:
         """This router can't know what followed on what it heard, and something may have."""
-        return not self.list_lease.holds(now) and (self.founded if self.strict else bool(self.announced()))
+        return not self.list_lease.is_held(now) and (self.founded if self.strict else bool(self.announced()))
 
     def applied(self, number: int, open_at: dict[str, int]) -> None:
         """This router keeps off what that document says; so much is still open at those machines."""
--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -33,7 +33,7 @@
         if at is not None:
             self.until = max(self.until, at + self.held)
 
-    def holds(self, now: int) -> bool:
+    def is_held(self, now: int) -> bool:
         """To be asked just before each write: a process that stood still has lost it meanwhile."""
         return now < self.until
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -305,7 +305,7 @@
             return False
         if self.coordinator.strict:
             return self.coordinator.in_doubt(now())
-        return not self.coordinator.list_lease.holds(now())
+        return not self.coordinator.list_lease.is_held(now())
 
     def tell(self, found: work_orders.WorkDocument) -> None:
         """A line of the log for each order that went a step further."""
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -398,7 +398,7 @@
 
 
 def no_lease(made):
-    made.list_lease.holds = lambda now: True
+    made.list_lease.is_held = lambda now: True
 
 
 def eager_out(made):
@@ -439,7 +439,7 @@
     for name, holds in (("r1", 3), ("r2", 5)):
         made.reports[name] = coordinator.Report(7, holds, 4, {}, False, False, {}, (), (0, 0), (), "east")
     made.tick(SECOND, True, [None, may_be, may_be], frozenset(), True)
-    assert made.line()["work"]["grants"] == [["r2", 7, 4]] and not made.list_lease.holds(SECOND)
+    assert made.line()["work"]["grants"] == [["r2", 7, 4]] and not made.list_lease.is_held(SECOND)
     assert made.may_use(5, 9 * SECOND) == ["r0"] and made.may_use(6, 2 * SECOND) == ["r0", "r1", "r2"]
 
 
@@ -448,11 +448,11 @@
     first = mine.ask(100)
     mine.ask(900)
     mine.renew(first)  # a grant that lay in a buffer
-    assert mine.holds(1099) and not mine.holds(1100)
+    assert mine.is_held(1099) and not mine.is_held(1100)
     mine.renew(77)  # of a process before
-    assert not mine.holds(1100)
+    assert not mine.is_held(1100)
     mine.renew(2)
-    assert mine.holds(1899)
+    assert mine.is_held(1899)
 
 
 def test_who_begins_to_act_waits_for_leases_that_another_may_have_given():
