--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -267,7 +267,7 @@
         self.doubt = self.in_doubt(now)
         if (self.work.orders or self.strict) and now - self.asked_at >= self.ask_every:
             self.asked_at = now
-            self.list_lease.ask(now)
+            self.list_lease.request(now)
         if not acting:
             self.grants = {}
             return
--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -19,7 +19,7 @@
         self.count, self.until = 0, 0
         self.told: dict[int, int] = {}  # count: when it was published
 
-    def ask(self, now: int) -> int:
+    def request(self, now: int) -> int:
         """The count that goes into the line of now."""
         self.count += 1
         self.told[self.count] = now
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -445,8 +445,8 @@
 
 def test_a_lease_on_the_list_runs_from_when_it_was_asked_for_and_ends_by_itself():
     mine = ListLease(1000, drift=0.0)
-    first = mine.ask(100)
-    mine.ask(900)
+    first = mine.request(100)
+    mine.request(900)
     mine.renew(first)  # a grant that lay in a buffer
     assert mine.is_held(1099) and not mine.is_held(1100)
     mine.renew(77)  # of a process before
