--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -17,19 +17,19 @@
     def __init__(self, length: int, drift: float = 0.01):
         self.held = int(length * (1 - drift))
         self.count, self.until = 0, 0
-        self.told: dict[int, int] = {}  # count: when it was published
+        self.published_at: dict[int, int] = {}  # count: when it was published
 
     def request(self, now: int) -> int:
         """The count that goes into the line of now."""
         self.count += 1
-        self.told[self.count] = now
-        while len(self.told) > MOST_TICKS:
-            del self.told[min(self.told)]
+        self.published_at[self.count] = now
+        while len(self.published_at) > MOST_TICKS:
+            del self.published_at[min(self.published_at)]
         return self.count
 
     def renew(self, count: int) -> None:
         """Who acts read that count. One that was forgotten, or of a process before, gives nothing."""
-        at = self.told.get(count)
+        at = self.published_at.get(count)
         if at is not None:
             self.until = max(self.until, at + self.held)
 
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -106,7 +106,7 @@
 
     def age(self, n, count):
         n = n if type(n) is int else int(n[1:])
-        at = self.members[n].list_lease.told.get(count)
+        at = self.members[n].list_lease.published_at.get(count)
         return min(self.now - at, (LENGTH + 1) * UNIT) if at is not None else -1
 
     def key(self):
@@ -213,7 +213,7 @@
 def twin(one):
     made = copy.copy(one)
     made.list_lease, made.granted_leases = copy.copy(one.list_lease), copy.copy(one.granted_leases)
-    made.list_lease.told, made.granted_leases.at = dict(one.list_lease.told), dict(one.granted_leases.at)
+    made.list_lease.published_at, made.granted_leases.at = dict(one.list_lease.published_at), dict(one.granted_leases.at)
     made.reports, made.grants, made.silent, made.back_at = dict(one.reports), dict(one.grants), set(one.silent), dict(one.back_at)
     return made
 
