--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -15,7 +15,7 @@
     """The asker's side."""
 
     def __init__(self, length: int, drift: float = 0.01):
-        self.held = int(length * (1 - drift))
+        self.duration = int(length * (1 - drift))
         self.count, self.until = 0, 0
         self.published_at: dict[int, int] = {}  # count: when it was published
 
@@ -31,7 +31,7 @@
         """Who acts read that count. One that was forgotten, or of a process before, gives nothing."""
         at = self.published_at.get(count)
         if at is not None:
-            self.until = max(self.until, at + self.held)
+            self.until = max(self.until, at + self.duration)
 
     def is_held(self, now: int) -> bool:
         """To be asked just before each write: a process that stood still has lost it meanwhile."""
