--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -43,18 +43,18 @@
 
     def __init__(self, length: int):
         self.length, self.since = length, 0
-        self.at: dict[int, int] = {}  # member: when it was granted last
+        self.granted_at: dict[int, int] = {}  # member: when it was granted last
 
     def acts(self, yes: bool, now: int) -> None:
         """To be called at each look: whoever acted between two terms of this member's may have granted too."""
         if not yes:
-            self.since, self.at = 0, {}
+            self.since, self.granted_at = 0, {}
         elif not self.since:
             self.since = now
 
     def grant(self, member: int, now: int) -> None:
-        self.at[member] = now
+        self.granted_at[member] = now
 
     def ended(self, member: int, now: int, more: int = 0) -> bool:
         """That member's lease has surely ended, and `more` ns have passed since."""
-        return self.since > 0 and now >= max(self.since, self.at.get(member, 0)) + self.length + more
+        return self.since > 0 and now >= max(self.since, self.granted_at.get(member, 0)) + self.length + more
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -132,7 +132,7 @@
                         )
                     ),
                     one.granted_leases.since and min(self.now - one.granted_leases.since, LENGTH * UNIT + 1),
-                    tuple(sorted((m, min(self.now - at, LENGTH * UNIT)) for m, at in one.granted_leases.at.items())),
+                    tuple(sorted((m, min(self.now - at, LENGTH * UNIT)) for m, at in one.granted_leases.granted_at.items())),
                 )
             )
         return (
@@ -213,7 +213,7 @@
 def twin(one):
     made = copy.copy(one)
     made.list_lease, made.granted_leases = copy.copy(one.list_lease), copy.copy(one.granted_leases)
-    made.list_lease.published_at, made.granted_leases.at = dict(one.list_lease.published_at), dict(one.granted_leases.at)
+    made.list_lease.published_at, made.granted_leases.granted_at = dict(one.list_lease.published_at), dict(one.granted_leases.granted_at)
     made.reports, made.grants, made.silent, made.back_at = dict(one.reports), dict(one.grants), set(one.silent), dict(one.back_at)
     return made
 
@@ -232,7 +232,7 @@
     """Who begins to act does not wait for leases that another may have given."""
 
     def ended(self, member, now, more=0):
-        return now >= self.at.get(member, 0) + self.length
+        return now >= self.granted_at.get(member, 0) + self.length
 
 
 class FromReceipt(ListLease):
