--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -263,7 +263,7 @@
         )
         self.acting, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
-        self.granted_leases.acts(acting, now)
+        self.granted_leases.set_active(acting, now)
         self.doubt = self.in_doubt(now)
         if (self.work.orders or self.strict) and now - self.asked_at >= self.ask_every:
             self.asked_at = now
--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -45,7 +45,7 @@
         self.length, self.since = length, 0
         self.granted_at: dict[int, int] = {}  # member: when it was granted last
 
-    def acts(self, yes: bool, now: int) -> None:
+    def set_active(self, yes: bool, now: int) -> None:
         """To be called at each look: whoever acted between two terms of this member's may have granted too."""
         if not yes:
             self.since, self.granted_at = 0, {}
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -179,7 +179,7 @@
         self.changes, self.acting = 1, OTHER
         self.members[ACTS].tick(self.now, False, [()], frozenset(), True)
         self.members[OTHER].know(register_codec.freeze(work_orders.value(self.documents[-1])))
-        self.members[OTHER].granted_leases.acts(True, self.now)
+        self.members[OTHER].granted_leases.set_active(True, self.now)
 
 
 def search(planted, most, depth):
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -458,11 +458,11 @@
 def test_who_begins_to_act_waits_for_leases_that_another_may_have_given():
     theirs = GrantedListLeases(1000)
     assert not theirs.ended(1, 10_000)
-    theirs.acts(True, 500)
+    theirs.set_active(True, 500)
     assert not theirs.ended(1, 1499) and theirs.ended(1, 1500)
     theirs.grant(1, 1400)
     assert not theirs.ended(1, 2399) and theirs.ended(1, 2400) and not theirs.ended(1, 2400, 100)
-    theirs.acts(False, 2400)
+    theirs.set_active(False, 2400)
     assert not theirs.ended(1, 9000)
 
 
