--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -348,7 +348,7 @@
         return found + [
             name
             for name in self.others()
-            if not (name in self.reports and self.reports[name].holds >= number) and not self.granted_leases.ended(name, now)
+            if not (name in self.reports and self.reports[name].holds >= number) and not self.granted_leases.has_ended(name, now)
         ]
 
     def open_at(self, machine: str, number: int, now: int) -> list[str]:
@@ -357,10 +357,10 @@
         found = [self.own] if self.holds < number or self.open.get(machine, 1) else []
         for name in self.others():
             one = self.reports.get(name)
-            if one is not None and not one.open.get(machine, 1) and (one.holds >= number or one.doubt and self.granted_leases.ended(name, now)):
+            if one is not None and not one.open.get(machine, 1) and (one.holds >= number or one.doubt and self.granted_leases.has_ended(name, now)):
                 continue
             heard = one is not None and name not in self.gone
-            if not heard and self.granted_leases.ended(name, now, self.longest + SLACK):
+            if not heard and self.granted_leases.has_ended(name, now, self.longest + SLACK):
                 continue
             found.append(name)
         return found
--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -55,6 +55,6 @@
     def grant(self, member: int, now: int) -> None:
         self.granted_at[member] = now
 
-    def ended(self, member: int, now: int, more: int = 0) -> bool:
+    def has_ended(self, member: int, now: int, more: int = 0) -> bool:
         """That member's lease has surely ended, and `more` ns have passed since."""
         return self.since > 0 and now >= max(self.since, self.granted_at.get(member, 0)) + self.length + more
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -224,14 +224,14 @@
 
 
 class EndsEarly(GrantedListLeases):
-    def ended(self, member, now, more=0):
-        return super().ended(member, now + UNIT, more)
+    def has_ended(self, member, now, more=0):
+        return super().has_ended(member, now + UNIT, more)
 
 
 class NoWait(GrantedListLeases):
     """Who begins to act does not wait for leases that another may have given."""
 
-    def ended(self, member, now, more=0):
+    def has_ended(self, member, now, more=0):
         return now >= self.granted_at.get(member, 0) + self.length
 
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -457,13 +457,13 @@
 
 def test_who_begins_to_act_waits_for_leases_that_another_may_have_given():
     theirs = GrantedListLeases(1000)
-    assert not theirs.ended(1, 10_000)
+    assert not theirs.has_ended(1, 10_000)
     theirs.set_active(True, 500)
-    assert not theirs.ended(1, 1499) and theirs.ended(1, 1500)
+    assert not theirs.has_ended(1, 1499) and theirs.has_ended(1, 1500)
     theirs.grant(1, 1400)
-    assert not theirs.ended(1, 2399) and theirs.ended(1, 2400) and not theirs.ended(1, 2400, 100)
+    assert not theirs.has_ended(1, 2399) and theirs.has_ended(1, 2400) and not theirs.has_ended(1, 2400, 100)
     theirs.set_active(False, 2400)
-    assert not theirs.ended(1, 9000)
+    assert not theirs.has_ended(1, 9000)
 
 
 def test_a_document_reads_back_as_it_was_and_one_that_is_none_is_refused():
