--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -424,7 +424,7 @@
             "counts": one.life > 0 if one.votes else name in counted,
             "life": one.life,
             "document": one.work.number if one.votes else None,
-            "goes_by": one.report.holds if one.report else None,
+            "goes_by": one.report.applied_number if one.report else None,
             "in_doubt": one.report.doubt if one.report else None,
         }
         for name, one in found.items()
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -45,7 +45,7 @@
     fills by machine that is kept off; `strict`: it serves nothing while it can't know the list."""
 
     nonce: int
-    holds: int
+    applied_number: int
     count: int
     open: dict
     strict: bool
@@ -81,7 +81,7 @@
         raise register_codec.BadLine("work.zone, work.strict or work.doubt: a name, true or false wanted")
     return Report(
         nonce,
-        register_codec.whole_number(raw.get("holds"), "work.holds"),
+        register_codec.whole_number(raw.get("holds"), "work.applied_number"),
         register_codec.whole_number(raw.get("count"), "work.count"),
         {name: register_codec.whole_number(many, "work.open") for name, many in open_at.items()},
         raw["strict"],
@@ -122,7 +122,7 @@
         self.grants: dict[str, tuple] = {}  # of who acts here: the nonce and count last granted, by member
         self.board: dict[str, work_orders.Listing] = {}
         self.work, self.of = work_orders.NOTHING, None  # as known here, and the value it was read from
-        self.holds = 0  # the document that this router goes by
+        self.applied_number = 0  # the document that this router goes by
         self.open: dict[str, int] = {}
         self.loads: dict[str, list] = {}  # of all servers that this router uses
         self.turned = (0.0, 0.0)
@@ -168,7 +168,7 @@
 
     def applied(self, number: int, open_at: dict[str, int]) -> None:
         """This router keeps off what that document says; so much is still open at those machines."""
-        self.holds, self.open = max(self.holds, number), open_at
+        self.applied_number, self.open = max(self.applied_number, number), open_at
 
     def counted(self) -> bool:
         """Nothing goes that this router may still use: it settles, or is in the document."""
@@ -184,7 +184,7 @@
 
     def line(self) -> dict:
         found = {
-            "holds": self.holds,
+            "holds": self.applied_number,
             "count": self.list_lease.count,
             "open": self.open,
             "strict": self.strict,
@@ -274,10 +274,10 @@
         least = max(work_orders.read(value).least() for value in values)
         for name, one in self.reports.items():
             counts = name in self.names or name in self.work.routers  # who acts next may not know of others
-            if counts and one.count and one.holds >= least and self.grants.get(name) != (one.nonce, one.count):
+            if counts and one.count and one.applied_number >= least and self.grants.get(name) != (one.nonce, one.count):
                 self.grants[name] = (one.nonce, one.count)
                 self.granted_leases.grant(name, now)
-        if self.holds >= least:
+        if self.applied_number >= least:
             self.list_lease.renew(self.list_lease.count)  # it acts: nobody else decides meanwhile
 
     def succeed(self, value: Any, now: int) -> Any:
@@ -335,29 +335,29 @@
 
     def not_told(self, number: int) -> list[str]:
         """Members that have not said they go by that document, and serve on what they know when they can't know more."""
-        found = [] if self.holds >= number else [self.own]
+        found = [] if self.applied_number >= number else [self.own]
         for name in self.others():
             one = self.reports.get(name)
-            if one is None and self.strict and name not in self.silent or one is not None and (one.holds >= number or one.strict):
+            if one is None and self.strict and name not in self.silent or one is not None and (one.applied_number >= number or one.strict):
                 continue
             found.append(name)
         return found
 
     def may_use(self, number: int, now: int) -> list[str]:
-        found = [] if self.holds >= number else [self.own]
+        found = [] if self.applied_number >= number else [self.own]
         return found + [
             name
             for name in self.others()
-            if not (name in self.reports and self.reports[name].holds >= number) and not self.granted_leases.has_ended(name, now)
+            if not (name in self.reports and self.reports[name].applied_number >= number) and not self.granted_leases.has_ended(name, now)
         ]
 
     def open_at(self, machine: str, number: int, now: int) -> list[str]:
         """By their own word, that of one which can't hear this member too, once its lease has ended. Of one that is not heard
         either: once its lease has ended, and the longest time limit after it."""
-        found = [self.own] if self.holds < number or self.open.get(machine, 1) else []
+        found = [self.own] if self.applied_number < number or self.open.get(machine, 1) else []
         for name in self.others():
             one = self.reports.get(name)
-            if one is not None and not one.open.get(machine, 1) and (one.holds >= number or one.doubt and self.granted_leases.has_ended(name, now)):
+            if one is not None and not one.open.get(machine, 1) and (one.applied_number >= number or one.doubt and self.granted_leases.has_ended(name, now)):
                 continue
             heard = one is not None and name not in self.gone
             if not heard and self.granted_leases.has_ended(name, now, self.longest + SLACK):
@@ -375,7 +375,7 @@
         loads, rest = self.summed()
         mine = Report(
             0,
-            self.holds,
+            self.applied_number,
             0,
             self.open,
             self.strict,
@@ -450,7 +450,7 @@
         if len(self.back_at) > work_orders.MOST_ORDERS:
             del self.back_at[next(iter(self.back_at))]
         live = self.live()
-        late = [one for one in live if one.holds < order.at]
+        late = [one for one in live if one.applied_number < order.at]
         if late or now - since < self.warm:
             return "warms"
         rows = [one.loads[order.machine] for one in live if order.machine in one.loads]
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -117,7 +117,7 @@
             rows.append(
                 (
                     one.work.number,
-                    one.holds,
+                    one.applied_number,
                     max(0, one.list_lease.until - self.now),
                     said["holds"],
                     said["doubt"],
@@ -128,7 +128,7 @@
                     tuple(sorted((m, nonce == self.nonce(m), self.age(m, count)) for m, (nonce, count) in one.grants.items())),
                     tuple(
                         sorted(
-                            (m, rep.holds, rep.doubt, rep.nonce == self.nonce(m), self.age(m, rep.count)) for m, rep in one.reports.items()
+                            (m, rep.applied_number, rep.doubt, rep.nonce == self.nonce(m), self.age(m, rep.count)) for m, rep in one.reports.items()
                         )
                     ),
                     one.granted_leases.since and min(self.now - one.granted_leases.since, LENGTH * UNIT + 1),
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -28,7 +28,7 @@
 def told(yard, n):
     """That router was told that c0 is next, and who acts knows it."""
     found, heard = yard.nodes[n].coordinator.work.of("w-c0"), yard.nodes[yard.acted[-1]].coordinator.reports.get(f"r{n}")
-    return found is not None and heard is not None and heard.holds >= found.next_at > 0
+    return found is not None and heard is not None and heard.applied_number >= found.next_at > 0
 
 
 def whole(yard):
@@ -435,7 +435,7 @@
 
     may_be = register_codec.freeze(work_orders.value(work_orders.WorkDocument(6, (order,))))
     made = coordinator.Coordinator(["r0", "r1", "r2"], "r0", "east", LENGTH, planner.Bounds(), False, LONGEST, SECOND)
-    made.holds = 3
+    made.applied_number = 3
     for name, holds in (("r1", 3), ("r2", 5)):
         made.reports[name] = coordinator.Report(7, holds, 4, {}, False, False, {}, (), (0, 0), (), "east")
     made.tick(SECOND, True, [None, may_be, may_be], frozenset(), True)
