--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -143,7 +143,7 @@
 
     # What this router goes by.
 
-    def know(self, value: Any) -> None:
+    def update_document(self, value: Any) -> None:
         """The latest document that is decided, as far as is known here."""
         if value is not self.of:
             self.of, found = value, work_orders.read(value)
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -26,14 +26,14 @@
         self.raw: list = [(None, None)] * members
         self.members = Members(-1, members, now, self.beat, self.beat // 4)
         self.resumed, self.decided = kept is not None, kept or consensus.NO_VALUE
-        coordinator.know(self.decided.value)
+        coordinator.update_document(self.decided.value)
 
     def remember(self, kept: Register, now: int) -> None:
         """What it had kept could be read only now."""
         self.resumed = True
         if kept.decided.stamp > self.decided.stamp:
             self.decided = kept.decided
-            self.coordinator.know(self.decided.value)
+            self.coordinator.update_document(self.decided.value)
 
     register_of = Node.register_of
 
@@ -46,7 +46,7 @@
         self.members.line(member, register.nonce, now)
         if register.decided.stamp > self.decided.stamp:
             self.decided = register.decided
-            self.coordinator.know(self.decided.value)
+            self.coordinator.update_document(self.decided.value)
 
     def alive(self, member: int, now: int) -> None:
         if self.views[member] is not None:
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -65,7 +65,7 @@
         self.lease.remembers()
         self.ask_at = now + self.lease.length
         if self.coordinator is not None:
-            self.coordinator.know(self.register.decided.value)
+            self.coordinator.update_document(self.register.decided.value)
 
     # What comes in.
 
@@ -142,7 +142,7 @@
             self.register = said
             self.step(now)
         if self.coordinator is not None:  # of what is kept, where this member remembers: it may be asked later what it went by
-            self.coordinator.know((self.register.decided if self.register.life else self.known()).value)
+            self.coordinator.update_document((self.register.decided if self.register.life else self.known()).value)
         if before.promised != self.register.promised:
             self.ask_at = now + self.pause()
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -121,7 +121,7 @@
         if votes:
             register = consensus.resume(kept, nonce) if kept is not None else consensus.blank(me, many, nonce)
             self.node = Node(wishes.name, register, many, now(), length, seed, kept is None, self.coordinator)
-            self.coordinator.know(register.decided.value)
+            self.coordinator.update_document(register.decided.value)
             kept = register if kept is not None else None  # as this process takes it up: what fails to be kept falls back to it
         else:
             self.node = Follower(wishes.name, own, nonce, many, now(), length, self.coordinator, kept.decided if kept else None)
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -24,7 +24,7 @@
     def heard(self, value, name, nonce, own, agreed):
         self.others[name] = [tuple(one) for one in value["wants"]]
 
-    def know(self, value):
+    def update_document(self, value):
         self.wants = [one for one in self.wants if one not in (value or ())]
 
     def tick(self, *about):
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -35,7 +35,7 @@
         order = work_orders.Order("a", "elsewhere", "c0", 9.0, 0.0, (), work_orders.NEXT, 1, 0, 1)
         self.documents.append(work_orders.WorkDocument(1, (order,)))
         for n, one in enumerate(self.members):
-            one.know(register_codec.freeze(work_orders.value(self.documents[1])))
+            one.update_document(register_codec.freeze(work_orders.value(self.documents[1])))
             one.applied(1, {"c0": 0})
         for _ in range(2):  # all were told that it is next, and hold leases
             self.pass_time()
@@ -81,7 +81,7 @@
         line, register = self.lines[a]
         self.members[b].heard(line, f"r{a}", register.nonce, self.nonces[b], (register.decided.value,))
         if register.decided.stamp[2] > self.number(b):
-            self.members[b].know(register.decided.value)
+            self.members[b].update_document(register.decided.value)
 
     def decide(self):
         one = self.members[self.acting]
@@ -92,7 +92,7 @@
         if value is None:
             return False
         self.documents.append(work_orders.read(value))
-        one.know(value)
+        one.update_document(value)
         if self.documents[-1].orders and self.documents[-1].orders[0].state == work_orders.OUT and self.out_at is None:
             self.out_at = self.now
         return True
@@ -178,7 +178,7 @@
         """The lease of who acts has ended; what it published last may still be read. The next begins by what was decided."""
         self.changes, self.acting = 1, OTHER
         self.members[ACTS].tick(self.now, False, [()], frozenset(), True)
-        self.members[OTHER].know(register_codec.freeze(work_orders.value(self.documents[-1])))
+        self.members[OTHER].update_document(register_codec.freeze(work_orders.value(self.documents[-1])))
         self.members[OTHER].granted_leases.set_active(True, self.now)
 
 
