--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -218,7 +218,7 @@
         if self.list_lease.count != self.told_count:
             self.told_count, self.fresh_loads = self.list_lease.count, False
 
-    def heard(self, value: dict, name: str, nonce: int, own_nonce: int, agreed: Iterable = ()) -> None:
+    def receive_line(self, value: dict, name: str, nonce: int, own_nonce: int, agreed: Iterable = ()) -> None:
         """A line of that member or follower, with the values in its register; raises BadLine."""
         try:
             for one in agreed:
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -41,7 +41,7 @@
         """A line of one that settles; raises BadLine where it is none, or of another fleet."""
         same_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
-        self.coordinator.heard(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
+        self.coordinator.receive_line(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
         self.views[member] = register
         self.members.line(member, register.nonce, now)
         if register.decided.stamp > self.decided.stamp:
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -25,7 +25,7 @@
     same_fleet(fleet, value)
     if value.get("follower") != name:
         raise register_codec.BadLine(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
-    coordinator.heard(value, name, register_codec.whole_number(value.get("nonce"), "nonce", 1), own_nonce)
+    coordinator.receive_line(value, name, register_codec.whole_number(value.get("nonce"), "nonce", 1), own_nonce)
 
 
 def caught_up(views: list, me: int = -1) -> bool:
@@ -75,7 +75,7 @@
         register = self.register_of(member, value.get("register"))
         backs, tick = (register_codec.ticked(value.get(name), name) for name in ("backs", "tick"))
         if self.coordinator is not None:
-            self.coordinator.heard(
+            self.coordinator.receive_line(
                 value,
                 self.coordinator.names[member],
                 register.nonce,
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -21,7 +21,7 @@
 
     names = [f"r{n}" for n in range(16)]
 
-    def heard(self, value, name, nonce, own, agreed):
+    def receive_line(self, value, name, nonce, own, agreed):
         self.others[name] = [tuple(one) for one in value["wants"]]
 
     def update_document(self, value):
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -79,7 +79,7 @@
     def deliver(self, a, b):
         """b reads what a published last."""
         line, register = self.lines[a]
-        self.members[b].heard(line, f"r{a}", register.nonce, self.nonces[b], (register.decided.value,))
+        self.members[b].receive_line(line, f"r{a}", register.nonce, self.nonces[b], (register.decided.value,))
         if register.decided.stamp[2] > self.number(b):
             self.members[b].update_document(register.decided.value)
 
