--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -280,7 +280,7 @@
         if self.applied_number >= least:
             self.list_lease.renew(self.list_lease.count)  # it acts: nobody else decides meanwhile
 
-    def succeed(self, value: Any, now: int) -> Any:
+    def next_value(self, value: Any, now: int) -> Any:
         """The value that follows, None where nothing does: of who acts, a few times a beat."""
         if now - self.looked_at < self.beat // 4:
             return None
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -148,7 +148,7 @@
 
     def successor(self, value: Any) -> Any:
         """What follows on the agreed value; None where nothing does, or this member does not hold the lease at this moment."""
-        return self.coordinator.succeed(value, self.now) if self.coordinator is not None and self.acts(self.now) else None
+        return self.coordinator.next_value(value, self.now) if self.coordinator is not None and self.acts(self.now) else None
 
     def known(self) -> StampedValue:
         """The latest that is decided, as far as is known here. What a member learned before it forgot stays decided."""
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -30,7 +30,7 @@
     def tick(self, *about):
         pass
 
-    def succeed(self, value, now):
+    def next_value(self, value, now):
         value = value or ()
         more = [one for wants in (*self.others.values(), self.wants) for one in wants if one not in value]
         return (*value, *more) if more else None
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -88,7 +88,7 @@
         if one.work.number != len(self.documents) - 1:
             return False  # it takes over what may be decided first
         one.looked_at = -1 << 60
-        value = one.succeed(register_codec.freeze(work_orders.value(one.work)), self.now)
+        value = one.next_value(register_codec.freeze(work_orders.value(one.work)), self.now)
         if value is None:
             return False
         self.documents.append(work_orders.read(value))
