--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -98,7 +98,7 @@
             without = bare(line)
             if without != self.lines.get(name):
                 self.lines[name], said[name] = without, json.dumps(line, separators=(",", ":")).encode()
-                member.coordinator.told()
+                member.coordinator.line_published()
             cost.cpu += time.process_time() - began
         self.read(said, acting)
         for at, machine in [row for row in self.restarts if row[0] <= self.now]:
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -213,7 +213,7 @@
                 into[3] += 1
         return dict(sorted(alone.items())[:MOST_LOADS]), rest
 
-    def told(self) -> None:
+    def line_published(self) -> None:
         """What `line` gave was published."""
         if self.list_lease.count != self.told_count:
             self.told_count, self.fresh_loads = self.list_lease.count, False
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -397,7 +397,7 @@
             without = bare(line)
             if without == self.last or self.node.fenced:
                 return
-            self.coordinator.told()
+            self.coordinator.line_published()
         with self.told:
             self.last, self.rev = without, self.rev + 1
             self.data = json.dumps({"rev": self.rev, **line}, separators=(",", ":")).encode() + b"\n"
