--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -93,7 +93,7 @@
             began = time.process_time()
             member.coordinator.wall, member.coordinator.board = self.now // MS, self.board
             member.tick(self.now)
-            member.coordinator.applied(member.coordinator.work.number, dict.fromkeys(member.coordinator.announced(), 0))
+            member.coordinator.mark_applied(member.coordinator.work.number, dict.fromkeys(member.coordinator.announced(), 0))
             line = member.line()
             without = bare(line)
             if without != self.lines.get(name):
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -166,7 +166,7 @@
         """This router can't know what followed on what it heard, and something may have."""
         return not self.list_lease.is_held(now) and (self.founded if self.strict else bool(self.announced()))
 
-    def applied(self, number: int, open_at: dict[str, int]) -> None:
+    def mark_applied(self, number: int, open_at: dict[str, int]) -> None:
         """This router keeps off what that document says; so much is still open at those machines."""
         self.applied_number, self.open = max(self.applied_number, number), open_at
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -292,7 +292,7 @@
             open_at = self.overlay.open_at(sorted(self.unsure))
             with self.lock:
                 if not self.failed:  # what is not on disk is not said: after a crash this member would not know it
-                    self.coordinator.applied(found.number, open_at)
+                    self.coordinator.mark_applied(found.number, open_at)
             if self.coordinator.strict:
                 self.overlay.turn_away(doubt)
             if sure:
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -36,7 +36,7 @@
         self.documents.append(work_orders.WorkDocument(1, (order,)))
         for n, one in enumerate(self.members):
             one.update_document(register_codec.freeze(work_orders.value(self.documents[1])))
-            one.applied(1, {"c0": 0})
+            one.mark_applied(1, {"c0": 0})
         for _ in range(2):  # all were told that it is next, and hold leases
             self.pass_time()
             for a in range(3):
@@ -63,7 +63,7 @@
             one.tick(
                 self.now, n == self.acting, [register_codec.freeze(work_orders.value(self.documents[self.number(n)]))], frozenset(), True
             )
-            one.applied(one.work.number, {"c0": 0} if one.work.number else {})
+            one.mark_applied(one.work.number, {"c0": 0} if one.work.number else {})
             register = consensus.blank(n, 3, self.nonces[n])._replace(
                 life=1,
                 decided=consensus.StampedValue(
