--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -150,7 +150,7 @@
             if found.number >= self.work.number:
                 self.work = found
 
-    def off(self, now: int) -> frozenset:
+    def withdrawn(self, now: int) -> frozenset:
         """The machines that this router keeps off at this moment."""
         return self.work.machines(work_orders.KEPT_OFF) if self.list_lease.is_held(now) else self.announced()
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -285,7 +285,7 @@
         with self.applying:
             with self.lock:
                 at = now()
-                found, off, backs = self.coordinator.work, self.coordinator.off(at), self.coordinator.back()
+                found, off, backs = self.coordinator.work, self.coordinator.withdrawn(at), self.coordinator.back()
                 doubt, sure = self.coordinator.in_doubt(at), self.node.knows()
             self.unsure = self.coordinator.announced()
             self.overlay.keep_off(off, backs)
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -143,7 +143,7 @@
         coordinator = node.coordinator
         coordinator.wall, coordinator.board = now // MS + self.skew.get(n, 0), self.listings
         self.hops[n] = [hop for hop in self.hops[n] if hop[2] > now]
-        off = coordinator.off(now)
+        off = coordinator.withdrawn(now)
         coordinator.fresh_loads = True
         coordinator.loads = {m: [10.0, 3.0 / self.members, 5.0, 2 if self.cold(coordinator, m, now) else 0] for m in self.listings}
         if not coordinator.in_doubt(now) if self.strict else node.knows():  # at its start a router waits until it knows
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -99,7 +99,7 @@
 
     def wrong(self):
         """The router may use the machine though it is out."""
-        return self.out_at is not None and not self.paused and "c0" not in self.members[ROUTER].off(self.now) and self.number(ROUTER) > 0
+        return self.out_at is not None and not self.paused and "c0" not in self.members[ROUTER].withdrawn(self.now) and self.number(ROUTER) > 0
 
     def nonce(self, name):
         return self.nonces[int(name[1:])]
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -70,7 +70,7 @@
     yard.cut = {(a, b) for a in range(3) for b in range(3) if other in (a, b)}
     yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
     assert yard.nodes[other].coordinator.work.of("w-c0").state in (work_orders.NEXT, work_orders.GOING)
-    assert "c0" in yard.nodes[other].coordinator.off(yard.now) and "c1" not in yard.nodes[other].coordinator.off(yard.now)
+    assert "c0" in yard.nodes[other].coordinator.withdrawn(yard.now) and "c1" not in yard.nodes[other].coordinator.withdrawn(yard.now)
     whole(yard)
 
 
@@ -135,7 +135,7 @@
     yard.wished[1].clear()
     yard.until(lambda: yard.how() == {"c0": "dropped"}, 5000)
     yard.run(1000)
-    assert not any("c0" in node.coordinator.off(yard.now) for node in yard.nodes)
+    assert not any("c0" in node.coordinator.withdrawn(yard.now) for node in yard.nodes)
     whole(yard)
 
 
@@ -261,7 +261,7 @@
     yard.ask(9, "c1")
     yard.run(10_000)
     assert yard.latest().number == number and not any(yard.nodes[n].register.life for n in range(7))
-    assert all("c0" in node.coordinator.off(yard.now) and "c2" not in node.coordinator.off(yard.now) for node in yard.nodes)
+    assert all("c0" in node.coordinator.withdrawn(yard.now) and "c2" not in node.coordinator.withdrawn(yard.now) for node in yard.nodes)
     assert all(yard.hops[n] for n in range(10))
     whole(yard)
 
