--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -158,7 +158,7 @@
         """What may have gone since, for all this router knows."""
         return self.work.machines(work_orders.ANNOUNCED) | self.perhaps
 
-    def back(self) -> frozenset:
+    def returning(self) -> frozenset:
         """(machine, number) of those that come back: they count as cold from when that was first heard here."""
         return frozenset((one.machine, one.at) for one in self.work.orders if one.state == work_orders.BACK)
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -226,7 +226,7 @@
                 log.error("fenced", extra={"kv": {"why": "a later process of this name is a member; this one takes part no more"}})
             if self.unread:
                 self.read_again()
-            if time.monotonic() - looked >= (LOOK_BACK if self.coordinator.back() else LOOK):
+            if time.monotonic() - looked >= (LOOK_BACK if self.coordinator.returning() else LOOK):
                 looked = time.monotonic()
                 self.overlay.look(self.looked)
             with self.lock:
@@ -285,7 +285,7 @@
         with self.applying:
             with self.lock:
                 at = now()
-                found, off, backs = self.coordinator.work, self.coordinator.withdrawn(at), self.coordinator.back()
+                found, off, backs = self.coordinator.work, self.coordinator.withdrawn(at), self.coordinator.returning()
                 doubt, sure = self.coordinator.in_doubt(at), self.node.knows()
             self.unsure = self.coordinator.announced()
             self.overlay.keep_off(off, backs)
