--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -162,7 +162,7 @@
         """(machine, number) of those that come back: they count as cold from when that was first heard here."""
         return frozenset((one.machine, one.at) for one in self.work.orders if one.state == work_orders.BACK)
 
-    def in_doubt(self, now: int) -> bool:
+    def list_unknown(self, now: int) -> bool:
         """This router can't know what followed on what it heard, and something may have."""
         return not self.list_lease.is_held(now) and (self.founded if self.strict else bool(self.announced()))
 
@@ -264,7 +264,7 @@
         self.acting, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
         self.granted_leases.set_active(acting, now)
-        self.doubt = self.in_doubt(now)
+        self.doubt = self.list_unknown(now)
         if (self.work.orders or self.strict) and now - self.asked_at >= self.ask_every:
             self.asked_at = now
             self.list_lease.request(now)
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -286,7 +286,7 @@
             with self.lock:
                 at = now()
                 found, off, backs = self.coordinator.work, self.coordinator.withdrawn(at), self.coordinator.returning()
-                doubt, sure = self.coordinator.in_doubt(at), self.node.knows()
+                doubt, sure = self.coordinator.list_unknown(at), self.node.knows()
             self.unsure = self.coordinator.announced()
             self.overlay.keep_off(off, backs)
             open_at = self.overlay.open_at(sorted(self.unsure))
@@ -304,7 +304,7 @@
         if server not in self.unsure and not self.coordinator.strict:
             return False
         if self.coordinator.strict:
-            return self.coordinator.in_doubt(now())
+            return self.coordinator.list_unknown(now())
         return not self.coordinator.list_lease.is_held(now())
 
     def tell(self, found: work_orders.WorkDocument) -> None:
