--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -170,13 +170,13 @@
         """This router keeps off what that document says; so much is still open at those machines."""
         self.applied_number, self.open = max(self.applied_number, number), open_at
 
-    def counted(self) -> bool:
+    def is_counted(self) -> bool:
         """Nothing goes that this router may still use: it settles, or is in the document."""
         return self.own in self.names or self.own in self.work.routers
 
     def asks(self) -> tuple:
         found = work_orders.asks(self.wishes, self.work, self.own)
-        if not self.counted():
+        if not self.is_counted():
             found = (("join", self.own), *found)
         return (*(("leave", name) for name in self.left), *found)[:MOST_ASKS]  # so long as it stands in a file, none joins
 
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -66,7 +66,7 @@
         """It is counted, and knows as much of what is out as any process of it before may have said that it goes by; or there is no
         fleet yet."""
         remembers = self.resumed or caught_up(self.views)
-        return remembers and self.coordinator.counted() or not self.founded()
+        return remembers and self.coordinator.is_counted() or not self.founded()
 
     def line(self) -> dict:
         return {"fleet": self.fleet, "follower": self.name, "nonce": self.nonce, **self.coordinator.line()}
