--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -127,7 +127,7 @@
         self.loads: dict[str, list] = {}  # of all servers that this router uses
         self.turned = (0.0, 0.0)
         self.fresh_loads, self.told_count = False, 0  # not published yet; the ask for a lease that was published last
-        self.wall = 0  # Unix ms
+        self.unix_ms = 0  # Unix ms
         self.asked_at = self.looked_at = self.noted_at = 0
         self.acting = False
         self.gone: frozenset = frozenset()  # members that are suspected
@@ -303,7 +303,7 @@
 
     def sight(self, now: int) -> work_orders.FleetView:
         return work_orders.FleetView(
-            self.wall,
+            self.unix_ms,
             self.board,
             self.park(now),
             DRAIN,
