--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -91,7 +91,7 @@
                 self.look(name)
             cost = self.costs[self.role(name, acting)]
             began = time.process_time()
-            member.coordinator.unix_ms, member.coordinator.board = self.now // MS, self.board
+            member.coordinator.unix_ms, member.coordinator.listings = self.now // MS, self.board
             member.tick(self.now)
             member.coordinator.mark_applied(member.coordinator.work.number, dict.fromkeys(member.coordinator.announced(), 0))
             line = member.line()
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -120,7 +120,7 @@
         self.reports: dict[str, Report] = {}
         self.silent: set[str] = set()  # members whose lines say nothing of work: an older version
         self.grants: dict[str, tuple] = {}  # of who acts here: the nonce and count last granted, by member
-        self.board: dict[str, work_orders.Listing] = {}
+        self.listings: dict[str, work_orders.Listing] = {}
         self.work, self.of = work_orders.NOTHING, None  # as known here, and the value it was read from
         self.applied_number = 0  # the document that this router goes by
         self.open: dict[str, int] = {}
@@ -207,7 +207,7 @@
         rest = [[0.0, 0.0, 0.0, 0], [0.0, 0.0, 0.0, 0]]
         for name, row in self.loads.items():
             if name not in alone:
-                into = rest[self.board.get(name, work_orders.Listing()).kind == "parent"]
+                into = rest[self.listings.get(name, work_orders.Listing()).kind == "parent"]
                 for at in range(3):
                     into[at] = round(into[at] + row[at], 3)
                 into[3] += 1
@@ -304,7 +304,7 @@
     def sight(self, now: int) -> work_orders.FleetView:
         return work_orders.FleetView(
             self.unix_ms,
-            self.board,
+            self.listings,
             self.park(now),
             DRAIN,
             self.warm / 1e9,
@@ -390,7 +390,7 @@
 
     def park(self, now: int) -> planner.MachinePool:
         """As `made`, which looks at the whole board: anew where the board or the document is another, and a few times a second."""
-        about = (id(self.board), self.work.number, self.wanted)
+        about = (id(self.listings), self.work.number, self.wanted)
         if about != self.parked_for or now - self.parked_at >= PARK_EVERY:
             self.parked_for, self.parked_at, self.parked = about, now, self.made()
         return self.parked
@@ -402,7 +402,7 @@
         machines, told, trouble = {}, {one.zone for one in live if one.loads or any(row.how for row in one.rest)}, {}
         away = self.work.machines(work_orders.AWAY)
         for name in sorted({name for one in live for name in one.loads} | self.wanted):
-            listing = self.board.get(name, work_orders.Listing())
+            listing = self.listings.get(name, work_orders.Listing())
             if not listing.kind:
                 continue
             rows = [one.loads[name] for one in live if name in one.loads]
@@ -416,12 +416,12 @@
                 sum(row.fills for row in rows),
                 listing.state == "up" and not ill or name in away,
             )
-        for name, listing in self.board.items():
+        for name, listing in self.listings.items():
             if listing.kind and listing.state == "draining" and name not in machines:
                 machines[name] = planner.Machine(listing.zone, listing.kind == "parent", listing.rating, 0.0, 0.0, False)
         many = Counter(
             (listing.zone, listing.kind)
-            for name, listing in self.board.items()
+            for name, listing in self.listings.items()
             if listing.kind and listing.state == "up" and name not in machines
         )
         for (zone, kind), count in many.items():
@@ -478,7 +478,7 @@
         self.bore = {name: share for name, share in self.bore.items() if name in there}
         park = self.park(now)
         for order in self.work.orders:
-            if order.state in (work_orders.WAITING, work_orders.NEXT) and order.machine in self.board:
+            if order.state in (work_orders.WAITING, work_orders.NEXT) and order.machine in self.listings:
                 load, mine, _ = self.part(order.machine, park)
                 if load:
                     self.bore[order.machine] = mine / load
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -230,7 +230,7 @@
                 looked = time.monotonic()
                 self.overlay.look(self.looked)
             with self.lock:
-                self.coordinator.unix_ms, self.coordinator.board = time.time_ns() // 1_000_000, self.overlay.listings
+                self.coordinator.unix_ms, self.coordinator.listings = time.time_ns() // 1_000_000, self.overlay.listings
                 self.node.tick(now())
                 self.keep()
                 acts = self.node.acts(now())
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -141,7 +141,7 @@
         """One router's turn: what it reports, and hops to what it may use."""
         node, now = self.nodes[n], self.now
         coordinator = node.coordinator
-        coordinator.unix_ms, coordinator.board = now // MS + self.skew.get(n, 0), self.listings
+        coordinator.unix_ms, coordinator.listings = now // MS + self.skew.get(n, 0), self.listings
         self.hops[n] = [hop for hop in self.hops[n] if hop[2] > now]
         off = coordinator.withdrawn(now)
         coordinator.fresh_loads = True
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -48,7 +48,7 @@
     def member(self, n):
         made = Quiet(["r0", "r1", "r2"], f"r{n}", "east", LENGTH * UNIT, BOUNDS, False, LONGEST * UNIT, 0)
         made.beat, made.ask_every, made.granted_leases.length, made.list_lease.duration = 1, 1, LENGTH * UNIT, LENGTH * UNIT
-        made.board = BOARD
+        made.listings = BOARD
         if self.planted:
             self.planted(made)
         return made
