--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -116,7 +116,7 @@
         self.beat, self.ask_every = length // 6, length // ASKS
         self.wishes: list[work_orders.WorkRequest] = []
         self.list_lease, self.granted_leases = ListLease(length), GrantedListLeases(length)
-        self.left: list[str] = []  # routers that an operator takes out
+        self.left_members: list[str] = []  # routers that an operator takes out
         self.reports: dict[str, Report] = {}
         self.silent: set[str] = set()  # members whose lines say nothing of work: an older version
         self.grants: dict[str, tuple] = {}  # of who acts here: the nonce and count last granted, by member
@@ -178,7 +178,7 @@
         found = work_orders.asks(self.wishes, self.work, self.own)
         if not self.is_counted():
             found = (("join", self.own), *found)
-        return (*(("leave", name) for name in self.left), *found)[:MOST_ASKS]  # so long as it stands in a file, none joins
+        return (*(("leave", name) for name in self.left_members), *found)[:MOST_ASKS]  # so long as it stands in a file, none joins
 
     # Lines.
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -117,7 +117,7 @@
             longest,
             max(site.fleet["cache_cold"][1], site.fleet["parent_cold"][1]),
         )
-        self.coordinator.requests, self.coordinator.left = parse_requests(wishes.work, "fleet.work"), list(wishes.left)
+        self.coordinator.requests, self.coordinator.left_members = parse_requests(wishes.work, "fleet.work"), list(wishes.left)
         if votes:
             register = consensus.resume(kept, nonce) if kept is not None else consensus.blank(me, many, nonce)
             self.node = Node(wishes.name, register, many, now(), length, seed, kept is None, self.coordinator)
@@ -346,7 +346,7 @@
             fleet = replace(self.wishes, work=fleet.work, left=fleet.left)
             same = None
         with self.lock:
-            self.coordinator.requests, self.coordinator.left = parse_requests(fleet.work, "fleet.work"), list(fleet.left)
+            self.coordinator.requests, self.coordinator.left_members = parse_requests(fleet.work, "fleet.work"), list(fleet.left)
             self.wishes = fleet
         return same is not None
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -364,13 +364,13 @@
     yard.ask(3, "c0", needs=3.0)  # asked at one that follows
     yard.run(6000)
     assert state(yard, "c0") == work_orders.NEXT and note(yard, "c0") == "r4 has not heard of it"
-    yard.nodes[0].coordinator.left = ["r4"]
+    yard.nodes[0].coordinator.left_members = ["r4"]
     yard.until(lambda: yard.how() == {"c0": "done"}, 30_000)
     assert yard.latest().routers == ("r3",)
     yard.start(4)
     yard.run(3000)
     assert yard.latest().routers == ("r3",) and not yard.hops[4]  # an operator said that it is out
-    yard.nodes[0].coordinator.left = []
+    yard.nodes[0].coordinator.left_members = []
     yard.run(3000)
     assert yard.latest().routers == ("r3", "r4") and yard.hops[4]
     whole(yard)
