--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -125,7 +125,7 @@
         self.applied_number = 0  # the document that this router goes by
         self.open: dict[str, int] = {}
         self.loads: dict[str, list] = {}  # of all servers that this router uses
-        self.turned = (0.0, 0.0)
+        self.rejected_rates = (0.0, 0.0)
         self.fresh_loads, self.told_count = False, 0  # not published yet; the ask for a lease that was published last
         self.unix_ms = 0  # Unix ms
         self.asked_at = self.looked_at = self.noted_at = 0
@@ -189,7 +189,7 @@
             "open": self.open,
             "strict": self.strict,
             "doubt": self.doubt,
-            "turned": list(self.turned),
+            "turned": list(self.rejected_rates),
             "asks": [list(one) for one in self.asks()],
             "zone": self.zone,
         }
@@ -382,7 +382,7 @@
             False,
             {name: Load(*row) for name, row in loads.items()},
             tuple(Load(*row) for row in rest),
-            self.turned,
+            self.rejected_rates,
             (),
             self.zone,
         )
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -276,7 +276,7 @@
             peer.want(yes)
 
     def looked(self, loads: dict, turned: tuple) -> None:
-        self.coordinator.loads, self.coordinator.turned, self.coordinator.fresh_loads = loads, turned, True
+        self.coordinator.loads, self.coordinator.rejected_rates, self.coordinator.fresh_loads = loads, turned, True
 
     # What is out.
 
