--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -71,7 +71,7 @@
         coordinator, zone = self.members[name].coordinator, self.zone(name)
         cold = {
             one.machine
-            for one in coordinator.work.orders
+            for one in coordinator.document.orders
             if one.state == work_orders.BACK and self.now - self.seen.get((one.ident, work_orders.BACK), self.now) < WARM
         }
         coordinator.loads = {
@@ -93,7 +93,7 @@
             began = time.process_time()
             member.coordinator.unix_ms, member.coordinator.listings = self.now // MS, self.board
             member.tick(self.now)
-            member.coordinator.mark_applied(member.coordinator.work.number, dict.fromkeys(member.coordinator.announced(), 0))
+            member.coordinator.mark_applied(member.coordinator.document.number, dict.fromkeys(member.coordinator.announced(), 0))
             line = member.line()
             without = bare(line)
             if without != self.lines.get(name):
@@ -122,7 +122,7 @@
                 cost.cpu += time.process_time() - began
                 cost.read += len(line)
                 cost.lines += 1
-                self.note(member.coordinator.work)
+                self.note(member.coordinator.document)
 
     def note(self, found: work_orders.WorkDocument) -> None:
         for order in found.orders:
@@ -145,7 +145,7 @@
         self.run(2)
 
     def latest(self) -> work_orders.WorkDocument:
-        return max((self.members[name].coordinator.work for name in self.names), key=lambda one: one.number)
+        return max((self.members[name].coordinator.document for name in self.names), key=lambda one: one.number)
 
     def ask(self, name: str, ident: str, machine: str) -> None:
         self.wishes[name].append(work_orders.WorkRequest(ident, machine, NEEDS))
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -121,7 +121,7 @@
         self.silent: set[str] = set()  # members whose lines say nothing of work: an older version
         self.grants: dict[str, tuple] = {}  # of who acts here: the nonce and count last granted, by member
         self.listings: dict[str, work_orders.Listing] = {}
-        self.work, self.of = work_orders.NOTHING, None  # as known here, and the value it was read from
+        self.document, self.of = work_orders.NOTHING, None  # as known here, and the value it was read from
         self.applied_number = 0  # the document that this router goes by
         self.open: dict[str, int] = {}
         self.loads: dict[str, list] = {}  # of all servers that this router uses
@@ -147,20 +147,20 @@
         """The latest document that is decided, as far as is known here."""
         if value is not self.of:
             self.of, found = value, work_orders.read(value)
-            if found.number >= self.work.number:
-                self.work = found
+            if found.number >= self.document.number:
+                self.document = found
 
     def withdrawn(self, now: int) -> frozenset:
         """The machines that this router keeps off at this moment."""
-        return self.work.machines(work_orders.KEPT_OFF) if self.list_lease.is_held(now) else self.announced()
+        return self.document.machines(work_orders.KEPT_OFF) if self.list_lease.is_held(now) else self.announced()
 
     def announced(self) -> frozenset:
         """What may have gone since, for all this router knows."""
-        return self.work.machines(work_orders.ANNOUNCED) | self.perhaps
+        return self.document.machines(work_orders.ANNOUNCED) | self.perhaps
 
     def returning(self) -> frozenset:
         """(machine, number) of those that come back: they count as cold from when that was first heard here."""
-        return frozenset((one.machine, one.at) for one in self.work.orders if one.state == work_orders.BACK)
+        return frozenset((one.machine, one.at) for one in self.document.orders if one.state == work_orders.BACK)
 
     def list_unknown(self, now: int) -> bool:
         """This router can't know what followed on what it heard, and something may have."""
@@ -172,10 +172,10 @@
 
     def is_counted(self) -> bool:
         """Nothing goes that this router may still use: it settles, or is in the document."""
-        return self.own in self.names or self.own in self.work.routers
+        return self.own in self.names or self.own in self.document.routers
 
     def asks(self) -> tuple:
-        found = work_orders.asks(self.wishes, self.work, self.own)
+        found = work_orders.asks(self.wishes, self.document, self.own)
         if not self.is_counted():
             found = (("join", self.own), *found)
         return (*(("leave", name) for name in self.left_members), *found)[:MOST_ASKS]  # so long as it stands in a file, none joins
@@ -193,7 +193,7 @@
             "asks": [list(one) for one in self.asks()],
             "zone": self.zone,
         }
-        if self.fresh_loads and self.work.orders and self.list_lease.count != self.told_count:
+        if self.fresh_loads and self.document.orders and self.list_lease.count != self.told_count:
             # Soft, and the largest part: with a line that goes out anyway. One that is missed is made good by the next look.
             found["loads"], found["rest"] = self.summed()
         if self.acting:
@@ -202,7 +202,7 @@
 
     def summed(self) -> tuple[dict, list]:
         """What this router says of servers: each that is on order or not well by itself, the rest together, by kind."""
-        wanted = {one.machine for one in self.work.orders}
+        wanted = {one.machine for one in self.document.orders}
         alone = {name: row for name, row in self.loads.items() if name in wanted or row[3] != WELL}
         rest = [[0.0, 0.0, 0.0, 0], [0.0, 0.0, 0.0, 0]]
         for name, row in self.loads.items():
@@ -259,13 +259,13 @@
         goes by an older document than they need gets no lease, for it may use what is out by one of them. `gone`: members that are
         suspected, by number or name. `may_be`: values that are decided somewhere, or may be, though not known here as such."""
         self.perhaps = frozenset().union(
-            *(found.machines(work_orders.ANNOUNCED) for found in map(work_orders.read, may_be) if found.number > self.work.number)
+            *(found.machines(work_orders.ANNOUNCED) for found in map(work_orders.read, may_be) if found.number > self.document.number)
         )
         self.acting, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
         self.granted_leases.set_active(acting, now)
         self.doubt = self.list_unknown(now)
-        if (self.work.orders or self.strict) and now - self.asked_at >= self.ask_every:
+        if (self.document.orders or self.strict) and now - self.asked_at >= self.ask_every:
             self.asked_at = now
             self.list_lease.request(now)
         if not acting:
@@ -273,7 +273,7 @@
             return
         least = max(work_orders.read(value).least() for value in values)
         for name, one in self.reports.items():
-            counts = name in self.names or name in self.work.routers  # who acts next may not know of others
+            counts = name in self.names or name in self.document.routers  # who acts next may not know of others
             if counts and one.count and one.applied_number >= least and self.grants.get(name) != (one.nonce, one.count):
                 self.grants[name] = (one.nonce, one.count)
                 self.granted_leases.grant(name, now)
@@ -331,7 +331,7 @@
 
     def others(self) -> list[str]:
         """All but this one that may use machines: who settles, and who follows and is counted."""
-        return [name for name in (*self.names, *self.work.routers) if name != self.own]
+        return [name for name in (*self.names, *self.document.routers) if name != self.own]
 
     def not_told(self, number: int) -> list[str]:
         """Members that have not said they go by that document, and serve on what they know when they can't know more."""
@@ -390,7 +390,7 @@
 
     def park(self, now: int) -> planner.MachinePool:
         """As `made`, which looks at the whole board: anew where the board or the document is another, and a few times a second."""
-        about = (id(self.listings), self.work.number, self.wanted)
+        about = (id(self.listings), self.document.number, self.wanted)
         if about != self.parked_for or now - self.parked_at >= PARK_EVERY:
             self.parked_for, self.parked_at, self.parked = about, now, self.made()
         return self.parked
@@ -400,7 +400,7 @@
         nobody speaks of by themselves stand together, as one that is never asked for."""
         live = self.live()
         machines, told, trouble = {}, {one.zone for one in live if one.loads or any(row.how for row in one.rest)}, {}
-        away = self.work.machines(work_orders.AWAY)
+        away = self.document.machines(work_orders.AWAY)
         for name in sorted({name for one in live for name in one.loads} | self.wanted):
             listing = self.listings.get(name, work_orders.Listing())
             if not listing.kind:
@@ -474,10 +474,10 @@
 
     def remember(self, now: int) -> None:
         """What a machine bears before it goes is what it is to bear again."""
-        there = {one.machine for one in self.work.orders}
+        there = {one.machine for one in self.document.orders}
         self.bore = {name: share for name, share in self.bore.items() if name in there}
         park = self.park(now)
-        for order in self.work.orders:
+        for order in self.document.orders:
             if order.state in (work_orders.WAITING, work_orders.NEXT) and order.machine in self.listings:
                 load, mine, _ = self.part(order.machine, park)
                 if load:
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -201,13 +201,13 @@
 
     def heard(self, number: int | str, value: dict) -> None:
         with self.lock:
-            before = self.coordinator.work.number
+            before = self.coordinator.document.number
             if isinstance(number, str):
                 self.node.heard_follower(number, value, now())
             else:
                 self.node.heard(number, value, now())
             self.keep()
-            fresh = self.coordinator.work.number != before
+            fresh = self.coordinator.document.number != before
         if fresh:
             self.apply()
             self.publish()
@@ -285,7 +285,7 @@
         with self.applying:
             with self.lock:
                 at = now()
-                found, off, backs = self.coordinator.work, self.coordinator.withdrawn(at), self.coordinator.returning()
+                found, off, backs = self.coordinator.document, self.coordinator.withdrawn(at), self.coordinator.returning()
                 doubt, sure = self.coordinator.list_unknown(at), self.node.knows()
             self.unsure = self.coordinator.announced()
             self.overlay.keep_off(off, backs)
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -150,7 +150,7 @@
             for machine in self.listings:
                 if machine not in off and self.random.random() < 0.3:
                     self.hop(n, machine)
-        coordinator.mark_applied(coordinator.work.number, {m: sum(hop[0] == m for hop in self.hops[n]) for m in coordinator.announced()})
+        coordinator.mark_applied(coordinator.document.number, {m: sum(hop[0] == m for hop in self.hops[n]) for m in coordinator.announced()})
 
     def cold(self, coordinator, machine, now):
         return any(
@@ -160,7 +160,7 @@
             or one.machine == machine
             and one.state == work_orders.BACK
             and now - self.numbers[one.at][1] < WARM
-            for one in coordinator.work.orders
+            for one in coordinator.document.orders
         )
 
     def hop(self, n, machine):
@@ -184,7 +184,7 @@
 
     def judge(self):
         for node in self.nodes:
-            found = node.coordinator.work
+            found = node.coordinator.document
             if found.number and found.number not in self.numbers:
                 self.numbers[found.number] = (found, self.now)
                 self.decided_first(found)
@@ -231,7 +231,7 @@
         raise AssertionError(f"not within {limit_ms} ms: {self.latest()}")
 
     def latest(self):
-        return max((node.coordinator.work for node in self.nodes), key=lambda found: found.number)
+        return max((node.coordinator.document for node in self.nodes), key=lambda found: found.number)
 
     def how(self):
         """How each order ended, by machine."""
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -54,7 +54,7 @@
         return made
 
     def number(self, n):
-        return self.members[n].work.number
+        return self.members[n].document.number
 
     def publish(self):
         for n, one in enumerate(self.members):
@@ -63,7 +63,7 @@
             one.tick(
                 self.now, n == self.acting, [register_codec.freeze(work_orders.value(self.documents[self.number(n)]))], frozenset(), True
             )
-            one.mark_applied(one.work.number, {"c0": 0} if one.work.number else {})
+            one.mark_applied(one.document.number, {"c0": 0} if one.document.number else {})
             register = consensus.blank(n, 3, self.nonces[n])._replace(
                 life=1,
                 decided=consensus.StampedValue(
@@ -85,10 +85,10 @@
 
     def decide(self):
         one = self.members[self.acting]
-        if one.work.number != len(self.documents) - 1:
+        if one.document.number != len(self.documents) - 1:
             return False  # it takes over what may be decided first
         one.looked_at = -1 << 60
-        value = one.next_value(register_codec.freeze(work_orders.value(one.work)), self.now)
+        value = one.next_value(register_codec.freeze(work_orders.value(one.document)), self.now)
         if value is None:
             return False
         self.documents.append(work_orders.read(value))
@@ -116,7 +116,7 @@
             said = line["work"]
             rows.append(
                 (
-                    one.work.number,
+                    one.document.number,
                     one.applied_number,
                     max(0, one.list_lease.until - self.now),
                     said["holds"],
