--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -129,7 +129,7 @@
         self.fresh_loads, self.told_count = False, 0  # not published yet; the ask for a lease that was published last
         self.unix_ms = 0  # Unix ms
         self.asked_at = self.looked_at = self.noted_at = 0
-        self.acting = False
+        self.is_active = False
         self.gone: frozenset = frozenset()  # members that are suspected
         self.back_at: dict[tuple, int] = {}  # (ident, number): when it was first seen back here
         self.bore: dict[str, float] = {}  # machine: its share of its location's load before it went
@@ -196,7 +196,7 @@
         if self.fresh_loads and self.document.orders and self.list_lease.count != self.told_count:
             # Soft, and the largest part: with a line that goes out anyway. One that is missed is made good by the next look.
             found["loads"], found["rest"] = self.summed()
-        if self.acting:
+        if self.is_active:
             found["grants"] = [[name, *self.grants[name]] for name in sorted(self.grants)]
         return {"work": found, "wants": []}  # members of an older version look for `wants`
 
@@ -261,7 +261,7 @@
         self.perhaps = frozenset().union(
             *(found.machines(work_orders.ANNOUNCED) for found in map(work_orders.read, may_be) if found.number > self.document.number)
         )
-        self.acting, self.founded = acting, founded
+        self.is_active, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
         self.granted_leases.set_active(acting, now)
         self.doubt = self.list_unknown(now)
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -46,7 +46,7 @@
     "no bounds": "from fieldspur.fleet.planner import MachinePool\nPark.forbids = lambda *about: ''\n",
     "two documents": "from fieldspur.fleet.member import Node\nline = Node.line\n"
     "def other(self):\n    found = line(self)\n    value = found['register']['decided'][1]\n"
-    "    if value and not self.coordinator.acting:\n"
+    "    if value and not self.coordinator.is_active:\n"
     "        found['register']['decided'][1] = (value[0], tuple((*o[:-1], 'mine') for o in value[1]), value[2])\n"
     "    return found\nNode.line = other\n",
 }
