--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -305,7 +305,7 @@
         return work_orders.FleetView(
             self.unix_ms,
             self.listings,
-            self.park(now),
+            self.machine_pool(now),
             DRAIN,
             self.warm / 1e9,
             self.not_told,
@@ -388,7 +388,7 @@
         )
         return [mine, *(one for name, one in self.reports.items() if name not in self.gone)]
 
-    def park(self, now: int) -> planner.MachinePool:
+    def machine_pool(self, now: int) -> planner.MachinePool:
         """As `made`, which looks at the whole board: anew where the board or the document is another, and a few times a second."""
         about = (id(self.listings), self.document.number, self.wanted)
         if about != self.parked_for or now - self.parked_at >= PARK_EVERY:
@@ -456,7 +456,7 @@
         rows = [one.loads[order.machine] for one in live if order.machine in one.loads]
         if any(row.how == COLD for row in rows):
             return "cold"
-        load, mine, even = self.part(order.machine, self.park(now))
+        load, mine, even = self.part(order.machine, self.machine_pool(now))
         wanted = load * min(even, self.bore.get(order.machine, even))
         grown = 1 - math.exp((since - now) / LOAD_SPAN)  # of what it bears, so much is seen in a fading mean by now
         if mine < BEARS * grown * wanted and now - since < PATIENT * self.warm:
@@ -476,7 +476,7 @@
         """What a machine bears before it goes is what it is to bear again."""
         there = {one.machine for one in self.document.orders}
         self.bore = {name: share for name, share in self.bore.items() if name in there}
-        park = self.park(now)
+        park = self.machine_pool(now)
         for order in self.document.orders:
             if order.state in (work_orders.WAITING, work_orders.NEXT) and order.machine in self.listings:
                 load, mine, _ = self.part(order.machine, park)
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -19,7 +19,7 @@
 class Quiet(Coordinator):
     """What is not searched here is left out: loads, words for operators."""
 
-    def park(self, now):
+    def machine_pool(self, now):
         return planner.MachinePool({name: planner.Machine("east", False, 10.0, 0.0, 0.0) for name in BOARD}, BOUNDS)
 
 
