--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -309,7 +309,7 @@
             DRAIN,
             self.warm / 1e9,
             self.not_told,
-            lambda number: self.may_use(number, now),
+            lambda number: self.members_that_may_use(number, now),
             lambda machine, number: self.open_at(machine, number, now),
             lambda free, running, park: self.plans(free, running, park, now),
             lambda order: self.bears(order, now),
@@ -343,7 +343,7 @@
             found.append(name)
         return found
 
-    def may_use(self, number: int, now: int) -> list[str]:
+    def members_that_may_use(self, number: int, now: int) -> list[str]:
         found = [] if self.applied_number >= number else [self.own]
         return found + [
             name
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -224,7 +224,7 @@
     drain: float  # s that a drain takes, as seen
     warm: float  # s until a cold machine bears its part
     not_told: Callable[[int], list]  # who has not said that it applied that number
-    may_use: Callable[[int], list]  # who has not, and may still hold a lease
+    members_that_may_use: Callable[[int], list]  # who has not, and may still hold a lease
     open_at: Callable[[str, int], list]  # who may have hops or fills open at that machine, gone in that number
     plans: Callable[[list, list, planner.MachinePool], planner.Plan]  # `plan.plan`, which may answer as it did a moment ago
     bears: Callable[[Order], str]  # what a machine that is back still lacks, '' where it bears its part
@@ -380,7 +380,7 @@
     state, now = order.state, sight.now
     listing = sight.board.get(order.machine, Listing())
     if state == GOING:
-        users = sight.may_use(order.going_at)
+        users = sight.members_that_may_use(order.going_at)
         if not users:
             return moved(order, OUT, number, now)._replace(started=listing.started, where=listing.where)
         return noted(order, f"{names(users)} may still use it")
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -244,7 +244,7 @@
 
 
 class NoWord(Quiet):
-    def may_use(self, number, now):
+    def members_that_may_use(self, number, now):
         return []
 
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -402,7 +402,7 @@
 
 
 def eager_out(made):
-    made.may_use = lambda number, now: []
+    made.members_that_may_use = lambda number, now: []
 
 
 def eager_free(made):
@@ -440,7 +440,7 @@
         made.reports[name] = coordinator.Report(7, holds, 4, {}, False, False, {}, (), (0, 0), (), "east")
     made.tick(SECOND, True, [None, may_be, may_be], frozenset(), True)
     assert made.line()["work"]["grants"] == [["r2", 7, 4]] and not made.list_lease.is_held(SECOND)
-    assert made.may_use(5, 9 * SECOND) == ["r0"] and made.may_use(6, 2 * SECOND) == ["r0", "r1", "r2"]
+    assert made.members_that_may_use(5, 9 * SECOND) == ["r0"] and made.members_that_may_use(6, 2 * SECOND) == ["r0", "r1", "r2"]
 
 
 def test_a_lease_on_the_list_runs_from_when_it_was_asked_for_and_ends_by_itself():
