--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -310,7 +310,7 @@
             self.warm / 1e9,
             self.not_told,
             lambda number: self.members_that_may_use(number, now),
-            lambda machine, number: self.open_at(machine, number, now),
+            lambda machine, number: self.members_with_open_hops(machine, number, now),
             lambda free, running, park: self.plans(free, running, park, now),
             lambda order: self.bears(order, now),
         )
@@ -351,7 +351,7 @@
             if not (name in self.reports and self.reports[name].applied_number >= number) and not self.granted_leases.has_ended(name, now)
         ]
 
-    def open_at(self, machine: str, number: int, now: int) -> list[str]:
+    def members_with_open_hops(self, machine: str, number: int, now: int) -> list[str]:
         """By their own word, that of one which can't hear this member too, once its lease has ended. Of one that is not heard
         either: once its lease has ended, and the longest time limit after it."""
         found = [self.own] if self.applied_number < number or self.open.get(machine, 1) else []
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -225,7 +225,7 @@
     warm: float  # s until a cold machine bears its part
     not_told: Callable[[int], list]  # who has not said that it applied that number
     members_that_may_use: Callable[[int], list]  # who has not, and may still hold a lease
-    open_at: Callable[[str, int], list]  # who may have hops or fills open at that machine, gone in that number
+    members_with_open_hops: Callable[[str, int], list]  # who may have hops or fills open at that machine, gone in that number
     plans: Callable[[list, list, planner.MachinePool], planner.Plan]  # `plan.plan`, which may answer as it did a moment ago
     bears: Callable[[Order], str]  # what a machine that is back still lacks, '' where it bears its part
 
@@ -385,7 +385,7 @@
             return moved(order, OUT, number, now)._replace(started=listing.started, where=listing.where)
         return noted(order, f"{names(users)} may still use it")
     if state == OUT:
-        users = sight.open_at(order.machine, order.going_at)
+        users = sight.members_with_open_hops(order.machine, order.going_at)
         if not users:
             return moved(order, FREE, number, now)
         return noted(order, f"{names(users)} may have something open there")
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -406,7 +406,7 @@
 
 
 def eager_free(made):
-    made.open_at = lambda machine, number, now: []
+    made.members_with_open_hops = lambda machine, number, now: []
 
 
 def careless(made):
