--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -308,7 +308,7 @@
             self.machine_pool(now),
             DRAIN,
             self.warm / 1e9,
-            self.not_told,
+            self.members_not_notified,
             lambda number: self.members_that_may_use(number, now),
             lambda machine, number: self.members_with_open_hops(machine, number, now),
             lambda free, running, park: self.plans(free, running, park, now),
@@ -333,7 +333,7 @@
         """All but this one that may use machines: who settles, and who follows and is counted."""
         return [name for name in (*self.names, *self.document.routers) if name != self.own]
 
-    def not_told(self, number: int) -> list[str]:
+    def members_not_notified(self, number: int) -> list[str]:
         """Members that have not said they go by that document, and serve on what they know when they can't know more."""
         found = [] if self.applied_number >= number else [self.own]
         for name in self.others():
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -223,7 +223,7 @@
     park: planner.MachinePool
     drain: float  # s that a drain takes, as seen
     warm: float  # s until a cold machine bears its part
-    not_told: Callable[[int], list]  # who has not said that it applied that number
+    members_not_notified: Callable[[int], list]  # who has not said that it applied that number
     members_that_may_use: Callable[[int], list]  # who has not, and may still hold a lease
     members_with_open_hops: Callable[[str, int], list]  # who may have hops or fills open at that machine, gone in that number
     plans: Callable[[list, list, planner.MachinePool], planner.Plan]  # `plan.plan`, which may answer as it did a moment ago
@@ -444,7 +444,7 @@
                 notes[order.ident] = why or waits(unit, out, sight)
         ready = [one for one in work.orders if one.machine in unit.machines]
         if ahead and all(one.state == NEXT and one.at < number for one in ready):
-            late = sight.not_told(max(one.next_at for one in ready))
+            late = sight.members_not_notified(max(one.next_at for one in ready))
             for order in ready:
                 if late:
                     notes[order.ident] = f"{names(late)} has not heard of it"
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -411,7 +411,7 @@
 
 def careless(made):
     """Lets a machine go that not all were told of."""
-    made.not_told = lambda number: []
+    made.members_not_notified = lambda number: []
 
 
 def no_bounds(made):
