--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -128,7 +128,7 @@
         self.rejected_rates = (0.0, 0.0)
         self.fresh_loads, self.told_count = False, 0  # not published yet; the ask for a lease that was published last
         self.unix_ms = 0  # Unix ms
-        self.asked_at = self.looked_at = self.noted_at = 0
+        self.asked_at = self.succession_checked_at = self.noted_at = 0
         self.is_active = False
         self.gone: frozenset = frozenset()  # members that are suspected
         self.back_at: dict[tuple, int] = {}  # (ident, number): when it was first seen back here
@@ -282,9 +282,9 @@
 
     def next_value(self, value: Any, now: int) -> Any:
         """The value that follows, None where nothing does: of who acts, a few times a beat."""
-        if now - self.looked_at < self.beat // 4:
+        if now - self.succession_checked_at < self.beat // 4:
             return None
-        self.looked_at, self.lived = now, None
+        self.succession_checked_at, self.lived = now, None
         before = work_orders.read(value)
         asked = [(name, one) for name, found in self.reports.items() for one in found.asks]
         asked += [(self.own, work_orders.read_ask(one)) for one in self.asks()]
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -87,7 +87,7 @@
         one = self.members[self.acting]
         if one.document.number != len(self.documents) - 1:
             return False  # it takes over what may be decided first
-        one.looked_at = -1 << 60
+        one.succession_checked_at = -1 << 60
         value = one.next_value(register_codec.freeze(work_orders.value(one.document)), self.now)
         if value is None:
             return False
