--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -323,7 +323,7 @@
             park.away,
             park.trouble,
             sorted(park.machines),
-            park.forbids(frozenset().union(*(unit.machines for unit, _ in running))),
+            park.violated_bound(frozenset().union(*(unit.machines for unit, _ in running))),
         )
         if about != self.planned_for or now - self.planned_at >= PLAN_EVERY:
             self.planned_for, self.planned_at, self.planned = about, now, planner.plan(free, running, park)
--- a/fieldspur/fleet/planner.py
+++ b/fieldspur/fleet/planner.py
@@ -56,7 +56,7 @@
 
 class Plan(NamedTuple):
     steps: tuple[Step, ...]  # by start
-    impossible: dict[str, str]  # units that no moment allows, and the bound that forbids them
+    impossible: dict[str, str]  # units that no moment allows, and the bound that violated_bound them
     length: float  # s until all are back
     floor: float  # no plan within the bounds can be shorter
 
@@ -75,7 +75,7 @@
         self.away = frozenset(name for name, one in machines.items() if not one.usable)
         self.said: dict[tuple, str] = {}
 
-    def forbids(self, out: frozenset, ideal: bool = False) -> str:
+    def violated_bound(self, out: frozenset, ideal: bool = False) -> str:
         """The bound that such a set would break, '' where it may be out. What is away by the board's word, or cold, counts as out
         with them; `ideal`: as if all others were well, and no location in trouble."""
         key = (out, ideal)
@@ -158,7 +158,7 @@
             end = start + unit.takes
             beside = [row for row in placed if row[1] < end and row[2] > start]
             if all(
-                not park.forbids(frozenset().union(unit.machines, *(row[0] for row in beside if row[1] <= at < row[2])))
+                not park.violated_bound(frozenset().union(unit.machines, *(row[0] for row in beside if row[1] <= at < row[2])))
                 for at in {start, *(row[1] for row in beside if row[1] > start)}
             ):
                 placed.append((unit.machines, start, end))
@@ -211,7 +211,7 @@
     for machines, takes in rows:  # a clique grown round each, greedily
         clique, length = [machines], takes
         for other, more in sorted(rows, key=lambda row: -row[1]):
-            if other not in clique and all(park.forbids(other | one, True) for one in clique):
+            if other not in clique and all(park.violated_bound(other | one, True) for one in clique):
                 clique.append(other)
                 length += more
         least = max(least, length)
@@ -228,8 +228,8 @@
 
 def plan(units: list[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> Plan:
     """The shortest order found, from what is out now. Units that could not go even alone, with all others well, are impossible;
-    those that only wait for something stay out of the steps until it is over (`MachinePool.forbids` says what for)."""
-    impossible = {unit.name: why for unit in units if (why := park.forbids(unit.machines, True))}
+    those that only wait for something stay out of the steps until it is over (`MachinePool.violated_bound` says what for)."""
+    impossible = {unit.name: why for unit in units if (why := park.violated_bound(unit.machines, True))}
     units = [unit for unit in units if unit.name not in impossible]
     by_name = {unit.name: unit for unit in units}
     best, found = [], None
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -420,7 +420,7 @@
     out = frozenset(machine for unit, _ in running for machine in unit.machines)
     going = work.machines((GOING,))
     away = work.machines(AWAY)
-    if going and (why := sight.park.forbids(away)):  # the board drained another, a location came into trouble, load rose
+    if going and (why := sight.park.violated_bound(away)):  # the board drained another, a location came into trouble, load rose
         for order in work.orders:
             if order.state == GOING and order.at < number:
                 work = put(work, moved(order, NEXT, number, sight.now, why))
@@ -432,7 +432,7 @@
     for unit in sorted(free, key=lambda unit: unit.name not in said):  # who was announced keeps its turn
         rows = [one for one in work.orders if one.machine in unit.machines]
         why = plans.impossible.get(unit.name, "") and f"never: {plans.impossible[unit.name]}"
-        ahead = not why and (unit.name in said or unit.name in begin) and not sight.park.forbids(planned | unit.machines)
+        ahead = not why and (unit.name in said or unit.name in begin) and not sight.park.violated_bound(planned | unit.machines)
         if ahead:
             planned |= unit.machines
         for order in rows:
@@ -458,4 +458,4 @@
 
 
 def waits(unit: planner.Unit, out: frozenset, sight: FleetView) -> str:
-    return sight.park.forbids(out | unit.machines) or sight.park.forbids(unit.machines) or "its turn comes"
+    return sight.park.violated_bound(out | unit.machines) or sight.park.violated_bound(unit.machines) or "its turn comes"
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -17,7 +17,7 @@
 
 
 def forbidden(machines, names, trouble=None, **bounds):
-    return MachinePool(machines, Bounds(**{"zone": 1.0, "all": 1.0, "both": 1.0, "headroom": 1.0} | bounds), trouble).forbids(frozenset(names))
+    return MachinePool(machines, Bounds(**{"zone": 1.0, "all": 1.0, "both": 1.0, "headroom": 1.0} | bounds), trouble).violated_bound(frozenset(names))
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
             if start + unit.takes >= best[0]:
                 return
             rows = [*placed, (unit.machines, start, start + unit.takes)]
-            if all(not park.forbids(frozenset().union(*(m for m, s, e in rows if s <= t < e))) for t in {s for _, s, _ in rows}):
+            if all(not park.violated_bound(frozenset().union(*(m for m, s, e in rows if s <= t < e))) for t in {s for _, s, _ in rows}):
                 place(at + 1, rows)
 
     place(0, [])
@@ -156,12 +156,12 @@
     assert {step.unit for step in found.steps} == {unit.name for unit in possible}
     for at in {step.start for step in found.steps}:
         running = frozenset().union(*(by_name[step.unit].machines for step in found.steps if step.start <= at < step.end))
-        assert not MachinePool(machines, bounds).forbids(running)
+        assert not MachinePool(machines, bounds).violated_bound(running)
     if possible:
         assert found.length == shortest(possible, park)
         assert found.floor <= found.length
     for name, why in found.impossible.items():
-        assert why and park.forbids(by_name[name].machines)
+        assert why and park.violated_bound(by_name[name].machines)
 
 
 def test_larger_plans_come_near_their_floor_and_any_order_keeps_the_bounds():
