--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -326,7 +326,7 @@
             park.violated_bound(frozenset().union(*(unit.machines for unit, _ in running))),
         )
         if about != self.planned_for or now - self.planned_at >= PLAN_EVERY:
-            self.planned_for, self.planned_at, self.planned = about, now, planner.plan(free, running, park)
+            self.planned_for, self.planned_at, self.planned = about, now, planner.make_plan(free, running, park)
         return self.planned
 
     def others(self) -> list[str]:
--- a/fieldspur/fleet/planner.py
+++ b/fieldspur/fleet/planner.py
@@ -226,7 +226,7 @@
     return least
 
 
-def plan(units: list[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> Plan:
+def make_plan(units: list[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> Plan:
     """The shortest order found, from what is out now. Units that could not go even alone, with all others well, are impossible;
     those that only wait for something stay out of the steps until it is over (`MachinePool.violated_bound` says what for)."""
     impossible = {unit.name: why for unit in units if (why := park.violated_bound(unit.machines, True))}
--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -281,4 +281,4 @@
         names = {"fills_s": "fills"}
         park = planner.MachinePool(machines, planner.Bounds(**{names.get(key, key): to for key, to in fleet.bounds.items()}))
         units = [planner.Unit(f"{n}", frozenset((ask.machine,)), DRAIN + ask.needs_s + servers.ramp_s) for n, ask in enumerate(fleet.work)]
-        return planner.plan(units, [], park).floor if units else 0.0
+        return planner.make_plan(units, [], park).floor if units else 0.0
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from fieldspur.fleet.planner import Bounds, Machine, MachinePool, Unit, plan, schedule
+from fieldspur.fleet.planner import Bounds, Machine, MachinePool, Unit, make_plan, schedule
 
 
 def caches(many, zone="north", capacity=10.0, load=1.0, **more):
@@ -83,20 +83,20 @@
 
 def test_no_plan_is_said_plainly_with_the_bound_that_forbids_it():
     machines = caches(2) | caches(8, "south")
-    found = plan([Unit("a", out("n0"), 5.0), Unit("b", out("s0"), 5.0)], [], MachinePool(machines, Bounds()))
+    found = make_plan([Unit("a", out("n0"), 5.0), Unit("b", out("s0"), 5.0)], [], MachinePool(machines, Bounds()))
     assert found.impossible == {"a": "north: 0.50 of its capacity out, bounds.zone allows 0.34"}
     assert [step.unit for step in found.steps] == ["b"] and found.length == 5.0
 
 
 def test_what_is_running_is_accounted_for():
     park = MachinePool(caches(6), Bounds(zone=0.34, all=0.34, both=1.0))
-    found = plan([Unit("a", out("n0"), 5.0)], [(Unit("x", out("n1"), 9.0), 4.0), (Unit("y", out("n2"), 9.0), 6.0)], park)
+    found = make_plan([Unit("a", out("n0"), 5.0)], [(Unit("x", out("n1"), 9.0), 4.0), (Unit("y", out("n2"), 9.0), 6.0)], park)
     assert found.steps[0].start == 4.0 and found.length == 9.0
 
 
 def test_what_is_wanted_sooner_goes_first():
     park = MachinePool(caches(6), Bounds())
-    found = plan([Unit("long", out("n0"), 50.0), Unit("soon", out("n1"), 5.0, before=10.0)], [], park)
+    found = make_plan([Unit("long", out("n0"), 50.0), Unit("soon", out("n1"), 5.0, before=10.0)], [], park)
     assert [step.unit for step in found.steps] == ["soon", "long"]
 
 
@@ -150,7 +150,7 @@
     chance = random.Random(seed)
     machines, bounds, units = drawn(chance, chance.randrange(2, 5))
     park = MachinePool(machines, bounds)
-    found = plan(units, [], park)
+    found = make_plan(units, [], park)
     by_name = {unit.name: unit for unit in units}
     possible = [unit for unit in units if unit.name not in found.impossible]
     assert {step.unit for step in found.steps} == {unit.name for unit in possible}
@@ -169,7 +169,7 @@
     chance = random.Random(5)
     park = MachinePool(caches(30), Bounds(zone=0.1, all=0.1, both=0.01))
     units = [Unit(f"n{n}", out(f"n{n}"), chance.uniform(3.0, 9.0)) for n in range(12)]
-    found = plan(units, [], park)
+    found = make_plan(units, [], park)
     ideal = sum(unit.takes for unit in units) / 3
     assert found.length <= 1.15 * max(ideal, found.floor)
     for order in itertools.islice(itertools.permutations(units), 0, 4000, 997):
