--- a/fieldspur/fleet/planner.py
+++ b/fieldspur/fleet/planner.py
@@ -58,7 +58,7 @@
     steps: tuple[Step, ...]  # by start
     impossible: dict[str, str]  # units that no moment allows, and the bound that violated_bound them
     length: float  # s until all are back
-    floor: float  # no plan within the bounds can be shorter
+    min_length: float  # no plan within the bounds can be shorter
 
 
 class MachinePool:
--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -243,7 +243,7 @@
         counts = self.orders.counts()
         whole = [step["second"] for step in steps if step["state"] == "done"]
         asked = min((ask.at for ask in fleet.work), default=0.0)
-        floor = self.floor()
+        floor = self.min_length()
         length = round(max(whole) - asked, 2) if len(whole) == len(fleet.work) and whole else None
         seconds = max(1.0, self.plan.seconds)
         found["fleet"] = {
@@ -281,4 +281,4 @@
         names = {"fills_s": "fills"}
         park = planner.MachinePool(machines, planner.Bounds(**{names.get(key, key): to for key, to in fleet.bounds.items()}))
         units = [planner.Unit(f"{n}", frozenset((ask.machine,)), DRAIN + ask.needs_s + servers.ramp_s) for n, ask in enumerate(fleet.work)]
-        return planner.make_plan(units, [], park).floor if units else 0.0
+        return planner.make_plan(units, [], park).min_length if units else 0.0
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -159,7 +159,7 @@
         assert not MachinePool(machines, bounds).violated_bound(running)
     if possible:
         assert found.length == shortest(possible, park)
-        assert found.floor <= found.length
+        assert found.min_length <= found.length
     for name, why in found.impossible.items():
         assert why and park.violated_bound(by_name[name].machines)
 
@@ -171,7 +171,7 @@
     units = [Unit(f"n{n}", out(f"n{n}"), chance.uniform(3.0, 9.0)) for n in range(12)]
     found = make_plan(units, [], park)
     ideal = sum(unit.takes for unit in units) / 3
-    assert found.length <= 1.15 * max(ideal, found.floor)
+    assert found.length <= 1.15 * max(ideal, found.min_length)
     for order in itertools.islice(itertools.permutations(units), 0, 4000, 997):
         for step in (steps := schedule(order, [], park)):
             assert sum(one.start <= step.start < one.end for one in steps) <= 3
