--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -11,7 +11,7 @@
 from collections import defaultdict
 
 from fieldspur.fleet import consensus, planner, work_orders
-from fieldspur.fleet.coordinator import COLD, WELL, Coordinator, bare
+from fieldspur.fleet.coordinator import COLD, WELL, Coordinator, without_loads
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.member import Node
 
@@ -95,7 +95,7 @@
             member.tick(self.now)
             member.coordinator.mark_applied(member.coordinator.document.number, dict.fromkeys(member.coordinator.announced(), 0))
             line = member.line()
-            without = bare(line)
+            without = without_loads(line)
             if without != self.lines.get(name):
                 self.lines[name], said[name] = without, json.dumps(line, separators=(",", ":")).encode()
                 member.coordinator.line_published()
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -57,7 +57,7 @@
     zone: str
 
 
-def bare(line: dict) -> dict:
+def without_loads(line: dict) -> dict:
     """A line without what goes out now and then only: where this is the same, nothing new is to be said."""
     return line | {"work": {name: part for name, part in line["work"].items() if name not in ("loads", "rest")}}
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -1,5 +1,5 @@
 """The thin part with sockets and threads: publishes this member's line as the notice board does (`watch N`; numbered JSON events,
-a bare number each second) and reads the others' with the board's own reader. Each line holds all, so one that was missed is
+a without_loads number each second) and reads the others' with the board's own reader. Each line holds all, so one that was missed is
 made good by the next."""
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import time
 
 from fieldspur.fleet import consensus, planner, register_codec, work_orders
-from fieldspur.fleet.coordinator import Coordinator, bare
+from fieldspur.fleet.coordinator import Coordinator, without_loads
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.list_overlay import ServerListOverlay
 from fieldspur.fleet.member import Node
@@ -25,7 +25,7 @@
 from fieldspur.record import replace
 
 log = logging.getLogger("fieldspur.fleet")
-EVERY = 1.0  # most seconds between two lines where nothing changed: a bare number; a beat where that is shorter
+EVERY = 1.0  # most seconds between two lines where nothing changed: a without_loads number; a beat where that is shorter
 LAG = 0.02  # seconds for which changes gather into one line
 ASK = 64  # bytes that a reader may send: `watch N`
 SPARE = 64  # readers beyond four connections of each member: operators, and those that ended and are not seen yet
@@ -394,7 +394,7 @@
             return
         with self.lock:
             line = self.node.line()
-            without = bare(line)
+            without = without_loads(line)
             if without == self.last or self.node.fenced:
                 return
             self.coordinator.line_published()
