--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -23,7 +23,7 @@
 PLAN_EVERY = 5_000_000_000  # ns after which a plan is made anew though nothing it was made for differs
 PARK_EVERY = 500_000_000  # the same for how the whole is seen
 ASKS = 3  # for a lease on the list, while one lasts
-DRAIN = 1.0  # s a drain is planned with before one was seen
+PLANNED_DRAIN_S = 1.0  # s a drain is planned with before one was seen
 SLACK = 100_000_000  # ns beyond the longest time limit, after which nothing of a router that can't be heard is open
 
 
@@ -306,7 +306,7 @@
             self.unix_ms,
             self.listings,
             self.machine_pool(now),
-            DRAIN,
+            PLANNED_DRAIN_S,
             self.warm / 1e9,
             self.members_not_notified,
             lambda number: self.members_that_may_use(number, now),
--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -10,7 +10,7 @@
 
 from fieldspur.bench.path import free_port
 from fieldspur.fleet import planner
-from fieldspur.fleet.coordinator import DRAIN
+from fieldspur.fleet.coordinator import PLANNED_DRAIN_S
 from fieldspur.lab.checks.work_order_checker import Orders
 from fieldspur.lab.emulate.faults import BACK_AFTER
 from fieldspur.lab.emulate.peer_links import Relay
@@ -280,5 +280,5 @@
         }
         names = {"fills_s": "fills"}
         park = planner.MachinePool(machines, planner.Bounds(**{names.get(key, key): to for key, to in fleet.bounds.items()}))
-        units = [planner.Unit(f"{n}", frozenset((ask.machine,)), DRAIN + ask.needs_s + servers.ramp_s) for n, ask in enumerate(fleet.work)]
+        units = [planner.Unit(f"{n}", frozenset((ask.machine,)), PLANNED_DRAIN_S + ask.needs_s + servers.ramp_s) for n, ask in enumerate(fleet.work)]
         return planner.make_plan(units, [], park).min_length if units else 0.0
