--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -11,7 +11,7 @@
 from fieldspur.fleet import planner, register_codec, work_orders
 from fieldspur.fleet.list_lease import GrantedListLeases, ListLease
 
-WELL, EJECTED, COLD = 0, 1, 2  # how a router finds a server
+WELL, EJECTED, SLOW_START = 0, 1, 2  # how a router finds a server
 MOST_LOADS = 512  # servers that one member tells of
 MOST_ASKS = 32  # of one member at a time
 BUSY_TROUBLE, FEW = 0.05, 20.0  # a location is in trouble that turns away such a share, of so many txns a second
@@ -406,7 +406,7 @@
             if not listing.kind:
                 continue
             rows = [one.loads[name] for one in live if name in one.loads]
-            ill = sum(row.how == EJECTED for row in rows) * 2 > len(rows) or any(row.how == COLD for row in rows)
+            ill = sum(row.how == EJECTED for row in rows) * 2 > len(rows) or any(row.how == SLOW_START for row in rows)
             capacities = sorted(row.capacity for row in rows) or [listing.rating]
             machines[name] = planner.Machine(
                 listing.zone,
@@ -454,7 +454,7 @@
         if late or now - since < self.warm:
             return "warms"
         rows = [one.loads[order.machine] for one in live if order.machine in one.loads]
-        if any(row.how == COLD for row in rows):
+        if any(row.how == SLOW_START for row in rows):
             return "cold"
         load, mine, even = self.part(order.machine, self.machine_pool(now))
         wanted = load * min(even, self.bore.get(order.machine, even))
