--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -11,7 +11,7 @@
 from collections import defaultdict
 
 from fieldspur.fleet import consensus, planner, work_orders
-from fieldspur.fleet.coordinator import SLOW_START, WELL, Coordinator, without_loads
+from fieldspur.fleet.coordinator import SLOW_START, HEALTHY, Coordinator, without_loads
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.member import Node
 
@@ -75,7 +75,7 @@
             if one.state == work_orders.BACK and self.now - self.seen.get((one.ident, work_orders.BACK), self.now) < WARM
         }
         coordinator.loads = {
-            cache: [20.0, round(self.random.uniform(0.2, 0.6), 2), 5.0, SLOW_START if cache in cold else WELL]
+            cache: [20.0, round(self.random.uniform(0.2, 0.6), 2), 5.0, SLOW_START if cache in cold else HEALTHY]
             for cache, listing in self.board.items()
             if listing.zone == zone
         }
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -11,7 +11,7 @@
 from fieldspur.fleet import planner, register_codec, work_orders
 from fieldspur.fleet.list_lease import GrantedListLeases, ListLease
 
-WELL, EJECTED, SLOW_START = 0, 1, 2  # how a router finds a server
+HEALTHY, EJECTED, SLOW_START = 0, 1, 2  # how a router finds a server
 MOST_LOADS = 512  # servers that one member tells of
 MOST_ASKS = 32  # of one member at a time
 BUSY_TROUBLE, FEW = 0.05, 20.0  # a location is in trouble that turns away such a share, of so many txns a second
@@ -203,7 +203,7 @@
     def summed(self) -> tuple[dict, list]:
         """What this router says of servers: each that is on order or not well by itself, the rest together, by kind."""
         wanted = {one.machine for one in self.document.orders}
-        alone = {name: row for name, row in self.loads.items() if name in wanted or row[3] != WELL}
+        alone = {name: row for name, row in self.loads.items() if name in wanted or row[3] != HEALTHY}
         rest = [[0.0, 0.0, 0.0, 0], [0.0, 0.0, 0.0, 0]]
         for name, row in self.loads.items():
             if name not in alone:
