--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -152,7 +152,7 @@
 
     def withdrawn(self, now: int) -> frozenset:
         """The machines that this router keeps off at this moment."""
-        return self.document.machines(work_orders.KEPT_OFF) if self.list_lease.is_held(now) else self.announced()
+        return self.document.machines(work_orders.WITHDRAWN) if self.list_lease.is_held(now) else self.announced()
 
     def announced(self) -> frozenset:
         """What may have gone since, for all this router knows."""
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -18,8 +18,8 @@
 
 WAITING, HELD, NEXT, GOING, OUT, FREE, BACK = "waiting", "held", "next", "going", "out", "free", "back"
 STATES = (WAITING, HELD, NEXT, GOING, OUT, FREE, BACK)
-KEPT_OFF = (GOING, OUT, FREE)  # no router that knows of it uses it
-ANNOUNCED = (NEXT, *KEPT_OFF)  # nor one that can't know what followed
+WITHDRAWN = (GOING, OUT, FREE)  # no router that knows of it uses it
+ANNOUNCED = (NEXT, *WITHDRAWN)  # nor one that can't know what followed
 AWAY = (GOING, OUT, FREE, BACK)  # out as the bounds count, until it bears its part
 DONE, DROPPED, REFUSED = "done", "dropped", "refused"
 MOST_ORDERS, MOST_ENDED, MOST_ROUTERS = 64, 128, 256
@@ -88,7 +88,7 @@
 
     def least(self) -> int:
         """Who has not applied this number or a later one does not know all that is going or gone: it gets no lease."""
-        return max((one.going_at for one in self.orders if one.state in KEPT_OFF), default=0)
+        return max((one.going_at for one in self.orders if one.state in WITHDRAWN), default=0)
 
 
 NOTHING = Work()
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -209,7 +209,7 @@
                     self.wrong.append(f"{one.machine} free, r{users[0]} has something open there")
                 self.restarts.append((self.now + int(one.needs * SECOND), one.machine))
         for machine in list(self.outs):
-            if machine not in found.machines(work_orders.KEPT_OFF):
+            if machine not in found.machines(work_orders.WITHDRAWN):
                 del self.outs[machine]
         away = found.machines(work_orders.AWAY)
         self.most_out = max(self.most_out, len(away))
