--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -63,7 +63,7 @@
             0,
             consensus.NO_BALLOT,
             False,
-            work_orders.NOTHING,
+            work_orders.EMPTY_DOCUMENT,
             report(raw, register_codec.whole_number(line.get("nonce"), "nonce")),
         )
     register = register_codec.decode_register(line["register"], settle)
@@ -98,7 +98,7 @@
 
 
 def latest(found: dict[str, Told | str]) -> work_orders.WorkDocument:
-    return max((one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.NOTHING)
+    return max((one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.EMPTY_DOCUMENT)
 
 
 def acting(found: dict[str, Told | str], fleet: Fleet) -> str | None:
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -121,7 +121,7 @@
         self.silent: set[str] = set()  # members whose lines say nothing of work: an older version
         self.grants: dict[str, tuple] = {}  # of who acts here: the nonce and count last granted, by member
         self.listings: dict[str, work_orders.Listing] = {}
-        self.document, self.of = work_orders.NOTHING, None  # as known here, and the value it was read from
+        self.document, self.of = work_orders.EMPTY_DOCUMENT, None  # as known here, and the value it was read from
         self.applied_number = 0  # the document that this router goes by
         self.open: dict[str, int] = {}
         self.loads: dict[str, list] = {}  # of all servers that this router uses
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -130,7 +130,7 @@
         self.kept, self.failed, self.acting, self.life = kept, bool(self.unread), False, kept.life if votes and kept else 0
         self.rev, self.data, self.last = 0, b"", {}
         self.known = threading.Event()  # set once this member knows what is out, or that nobody does
-        self.unsure, self.shown = frozenset(), work_orders.NOTHING  # what may only be used by lease; the document last logged
+        self.unsure, self.shown = frozenset(), work_orders.EMPTY_DOCUMENT  # what may only be used by lease; the document last logged
         self.quiet_since, self.quiet_told = 0, False  # since when nobody is known to act
         self.applying = threading.Lock()
         self.lock = threading.Lock()  # of the node
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -91,7 +91,7 @@
         return max((one.going_at for one in self.orders if one.state in WITHDRAWN), default=0)
 
 
-NOTHING = Work()
+EMPTY_DOCUMENT = Work()
 
 
 def value(work: Work) -> list:
@@ -130,7 +130,7 @@
 @lru_cache(maxsize=16)  # the same few are asked for at each line that comes
 def parsed(raw: Any) -> Work:
     if raw is None or raw == ():
-        return NOTHING
+        return EMPTY_DOCUMENT
     if type(raw) is not tuple or len(raw) < 3 or type(raw[0]) is not int or not all(type(rows) is tuple for rows in raw[1:3]):
         raise BadOrder("work: a number, orders and ended ones wanted")
     orders = tuple(row(Order, one, f"work.orders[{n}]") for n, one in enumerate(raw[1]))
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -25,7 +25,7 @@
 
 class State:
     def __init__(self, planted):
-        self.now, self.documents, self.acting = 10 * UNIT, [work_orders.NOTHING], ACTS
+        self.now, self.documents, self.acting = 10 * UNIT, [work_orders.EMPTY_DOCUMENT], ACTS
         self.paused = self.pauses = self.restarts = self.changes = 0
         self.out_at = None
         self.planted = planted
