--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -74,7 +74,7 @@
         register.life,
         register.promised,
         line.get("tick", [[0, -1]])[0] == list(register.promised),
-        work_orders.read(register.decided.value),
+        work_orders.read_document(register.decided.value),
         report(raw, register.nonce) if raw is not None else None,
     )
 
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -146,7 +146,7 @@
     def update_document(self, value: Any) -> None:
         """The latest document that is decided, as far as is known here."""
         if value is not self.of:
-            self.of, found = value, work_orders.read(value)
+            self.of, found = value, work_orders.read_document(value)
             if found.number >= self.document.number:
                 self.document = found
 
@@ -222,7 +222,7 @@
         """A line of that member or follower, with the values in its register; raises BadLine."""
         try:
             for one in agreed:
-                work_orders.read(one)
+                work_orders.read_document(one)
             self.take(value.get("work"), name, nonce, own_nonce)
         except work_orders.BadOrder as bad:
             raise register_codec.BadLine(str(bad)) from None
@@ -259,7 +259,7 @@
         goes by an older document than they need gets no lease, for it may use what is out by one of them. `gone`: members that are
         suspected, by number or name. `may_be`: values that are decided somewhere, or may be, though not known here as such."""
         self.perhaps = frozenset().union(
-            *(found.machines(work_orders.ANNOUNCED) for found in map(work_orders.read, may_be) if found.number > self.document.number)
+            *(found.machines(work_orders.ANNOUNCED) for found in map(work_orders.read_document, may_be) if found.number > self.document.number)
         )
         self.is_active, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
@@ -271,7 +271,7 @@
         if not acting:
             self.grants = {}
             return
-        least = max(work_orders.read(value).least() for value in values)
+        least = max(work_orders.read_document(value).least() for value in values)
         for name, one in self.reports.items():
             counts = name in self.names or name in self.document.routers  # who acts next may not know of others
             if counts and one.count and one.applied_number >= least and self.grants.get(name) != (one.nonce, one.count):
@@ -285,7 +285,7 @@
         if now - self.succession_checked_at < self.beat // 4:
             return None
         self.succession_checked_at, self.lived = now, None
-        before = work_orders.read(value)
+        before = work_orders.read_document(value)
         asked = [(name, one) for name, found in self.reports.items() for one in found.asks]
         asked += [(self.own, work_orders.read_ask(one)) for one in self.asks()]
         self.wanted = {one.machine for one in before.orders} | {one[2] for _, one in asked if one[0] == "add"}
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -162,7 +162,7 @@
         kept = self.store.load()
         try:
             for said in (kept.accepted, kept.said, kept.decided) if kept is not None else ():
-                work_orders.read(said.value)
+                work_orders.read_document(said.value)
         except work_orders.BadOrder as wrong:
             raise NotKept(f"what was kept is of another version: {wrong}") from None
         return kept
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -119,7 +119,7 @@
     return kind(*raw[: len(names)])
 
 
-def read(raw: Any) -> Work:
+def read_document(raw: Any) -> Work:
     """The document from what was agreed, of tuples; None stands for none so far. Raises BadOrder."""
     try:
         return parsed(raw)
--- a/fieldspur/lab/checks/work_order_checker.py
+++ b/fieldspur/lab/checks/work_order_checker.py
@@ -45,7 +45,7 @@
         kept = sum(ballot == register.promised for ballot in self.ballots.values())
         if holder >= 0 and kept > self.many // 2 and (not self.acting or self.acting[-1][1] != holder):
             self.acting.append((now, holder))
-        found = work_orders.read(register.decided.value)
+        found = work_orders.read_document(register.decided.value)
         if not found.number:
             return
         known = self.documents.get(found.number)
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -91,7 +91,7 @@
         value = one.next_value(register_codec.freeze(work_orders.value(one.document)), self.now)
         if value is None:
             return False
-        self.documents.append(work_orders.read(value))
+        self.documents.append(work_orders.read_document(value))
         one.update_document(value)
         if self.documents[-1].orders and self.documents[-1].orders[0].state == work_orders.OUT and self.out_at is None:
             self.out_at = self.now
