--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -297,7 +297,7 @@
             if now - self.noted_at < NOTES_EVERY:
                 return None
             self.noted_at = now
-        return register_codec.freeze(work_orders.value(after))
+        return register_codec.freeze(work_orders.document_value(after))
 
     # How who acts sees the whole.
 
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -94,7 +94,7 @@
 EMPTY_DOCUMENT = Work()
 
 
-def value(work: Work) -> list:
+def document_value(work: Work) -> list:
     """As it is agreed and published: lists of plain values."""
     return [
         work.number,
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -35,7 +35,7 @@
         order = work_orders.Order("a", "elsewhere", "c0", 9.0, 0.0, (), work_orders.NEXT, 1, 0, 1)
         self.documents.append(work_orders.WorkDocument(1, (order,)))
         for n, one in enumerate(self.members):
-            one.update_document(register_codec.freeze(work_orders.value(self.documents[1])))
+            one.update_document(register_codec.freeze(work_orders.document_value(self.documents[1])))
             one.mark_applied(1, {"c0": 0})
         for _ in range(2):  # all were told that it is next, and hold leases
             self.pass_time()
@@ -61,13 +61,13 @@
             if n == ROUTER and self.paused:
                 continue
             one.tick(
-                self.now, n == self.acting, [register_codec.freeze(work_orders.value(self.documents[self.number(n)]))], frozenset(), True
+                self.now, n == self.acting, [register_codec.freeze(work_orders.document_value(self.documents[self.number(n)]))], frozenset(), True
             )
             one.mark_applied(one.document.number, {"c0": 0} if one.document.number else {})
             register = consensus.blank(n, 3, self.nonces[n])._replace(
                 life=1,
                 decided=consensus.StampedValue(
-                    (1, 0, self.number(n)), register_codec.freeze(work_orders.value(self.documents[self.number(n)]))
+                    (1, 0, self.number(n)), register_codec.freeze(work_orders.document_value(self.documents[self.number(n)]))
                 ),
             )
             self.lines[n] = (one.line(), register)
@@ -88,7 +88,7 @@
         if one.document.number != len(self.documents) - 1:
             return False  # it takes over what may be decided first
         one.succession_checked_at = -1 << 60
-        value = one.next_value(register_codec.freeze(work_orders.value(one.document)), self.now)
+        value = one.next_value(register_codec.freeze(work_orders.document_value(one.document)), self.now)
         if value is None:
             return False
         self.documents.append(work_orders.read_document(value))
@@ -178,7 +178,7 @@
         """The lease of who acts has ended; what it published last may still be read. The next begins by what was decided."""
         self.changes, self.acting = 1, OTHER
         self.members[ACTS].tick(self.now, False, [()], frozenset(), True)
-        self.members[OTHER].update_document(register_codec.freeze(work_orders.value(self.documents[-1])))
+        self.members[OTHER].update_document(register_codec.freeze(work_orders.document_value(self.documents[-1])))
         self.members[OTHER].granted_leases.set_active(True, self.now)
 
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -433,7 +433,7 @@
     order = work_orders.Order("a", "r0", "c0", 3.0, 0.0, (), work_orders.OUT, 6, 100, 3, 5)
     from fieldspur.fleet import register_codec
 
-    may_be = register_codec.freeze(work_orders.value(work_orders.WorkDocument(6, (order,))))
+    may_be = register_codec.freeze(work_orders.document_value(work_orders.WorkDocument(6, (order,))))
     made = coordinator.Coordinator(["r0", "r1", "r2"], "r0", "east", LENGTH, planner.Bounds(), False, LONGEST, SECOND)
     made.applied_number = 3
     for name, holds in (("r1", 3), ("r2", 5)):
@@ -471,7 +471,7 @@
     found = work_orders.WorkDocument(9, (order,), (work_orders.Ended("b", "c9", work_orders.REFUSED, "why", 4),))
     from fieldspur.fleet import register_codec
 
-    assert work_orders.read_document(register_codec.freeze(work_orders.value(found))) == found and found.least() == 5
+    assert work_orders.read_document(register_codec.freeze(work_orders.document_value(found))) == found and found.least() == 5
     for bad in (3, "x", ("x", (), ()), (1, (("a",),), ()), (1, ((*order[:6], "away", *order[7:]),), ()), (1, 2, 3), (1, {}, ())):
         with pytest.raises(work_orders.BadOrder):
             work_orders.read_document(bad)
