--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -290,7 +290,7 @@
         asked += [(self.own, work_orders.read_ask(one)) for one in self.asks()]
         self.wanted = {one.machine for one in before.orders} | {one[2] for _, one in asked if one[0] == "add"}
         self.remember(now)
-        after = work_orders.succeed(before, asked, self.sight(now))
+        after = work_orders.next_document(before, asked, self.sight(now))
         if after is None:
             return None
         if plain(after) == plain(before):
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -359,7 +359,7 @@
     return max(1.0, parts - spent)
 
 
-def succeed(work: Work, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> Work | None:
+def next_document(work: Work, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> Work | None:
     """The document that follows, None where nothing does."""
     found = taken(work, asked, sight)
     number = work.number + 1
