--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -245,7 +245,7 @@
     end, seen = time.monotonic() + wait, None
     while True:
         document = latest(members(fleet))
-        seen = document.of(order) or next((one for one in document.ended if one.ident == order), None)
+        seen = document.find(order) or next((one for one in document.ended if one.ident == order), None)
         if seen is not None and how(seen):
             return seen
         if time.monotonic() >= end:
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -77,7 +77,7 @@
     ended: tuple[Ended, ...] = ()
     routers: tuple[str, ...] = ()  # that follow and are counted: nothing goes that they may still use; who settles is counted anyway
 
-    def of(self, ident: str) -> Order | None:
+    def find(self, ident: str) -> Order | None:
         return next((one for one in self.orders if one.ident == ident), None)
 
     def knows(self, ident: str) -> bool:
@@ -155,7 +155,7 @@
     """What the member `own` publishes so long as its wishes and the document differ: (verb, ident, ...)."""
     wishes, found = list(wishes), []
     for wish in wishes:
-        order = work.of(wish.ident)
+        order = work.find(wish.ident)
         if order is None:
             if not work.knows(wish.ident) and not wish.drop:
                 found.append(("add", wish.ident, wish.machine, wish.needs, wish.before, list(wish.beside), wish.held))
@@ -265,7 +265,7 @@
     number, asked = work.number + 1, sorted(asked)
     for by, ask in asked:
         verb, ident = ask[:2]
-        order = work.of(ident)
+        order = work.find(ident)
         if verb in ("join", "leave"):
             work = counted(work, verb, ident, by, asked)
         elif verb == "add" and not work.knows(ident):
@@ -451,7 +451,7 @@
                 else:
                     work = put(work, moved(order, GOING, number, sight.now))
     for ident, note in notes.items():
-        order = work.of(ident)
+        order = work.find(ident)
         if order is not None and order.state in (WAITING, HELD, NEXT):
             work = put(work, noted(order, note))
     return work
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -27,7 +27,7 @@
 
 def told(yard, n):
     """That router was told that c0 is next, and who acts knows it."""
-    found, heard = yard.nodes[n].coordinator.document.of("w-c0"), yard.nodes[yard.acted[-1]].coordinator.reports.get(f"r{n}")
+    found, heard = yard.nodes[n].coordinator.document.find("w-c0"), yard.nodes[yard.acted[-1]].coordinator.reports.get(f"r{n}")
     return found is not None and heard is not None and heard.applied_number >= found.next_at > 0
 
 
@@ -69,7 +69,7 @@
     yard.until(lambda: told(yard, other), 10_000)
     yard.cut = {(a, b) for a in range(3) for b in range(3) if other in (a, b)}
     yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
-    assert yard.nodes[other].coordinator.document.of("w-c0").state in (work_orders.NEXT, work_orders.GOING)
+    assert yard.nodes[other].coordinator.document.find("w-c0").state in (work_orders.NEXT, work_orders.GOING)
     assert "c0" in yard.nodes[other].coordinator.withdrawn(yard.now) and "c1" not in yard.nodes[other].coordinator.withdrawn(yard.now)
     whole(yard)
 
@@ -124,7 +124,7 @@
     yard.until(lambda: state(yard, "c0") == work_orders.FREE, 20_000)
     yard.stopped = set()
     yard.run(3000)
-    assert yard.nodes[other].coordinator.document.of("w-c0").state == work_orders.FREE
+    assert yard.nodes[other].coordinator.document.find("w-c0").state == work_orders.FREE
     whole(yard)
 
 
