--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -152,11 +152,11 @@
 
     def withdrawn(self, now: int) -> frozenset:
         """The machines that this router keeps off at this moment."""
-        return self.document.machines(work_orders.WITHDRAWN) if self.list_lease.is_held(now) else self.announced()
+        return self.document.machines_in(work_orders.WITHDRAWN) if self.list_lease.is_held(now) else self.announced()
 
     def announced(self) -> frozenset:
         """What may have gone since, for all this router knows."""
-        return self.document.machines(work_orders.ANNOUNCED) | self.perhaps
+        return self.document.machines_in(work_orders.ANNOUNCED) | self.perhaps
 
     def returning(self) -> frozenset:
         """(machine, number) of those that come back: they count as cold from when that was first heard here."""
@@ -259,7 +259,7 @@
         goes by an older document than they need gets no lease, for it may use what is out by one of them. `gone`: members that are
         suspected, by number or name. `may_be`: values that are decided somewhere, or may be, though not known here as such."""
         self.perhaps = frozenset().union(
-            *(found.machines(work_orders.ANNOUNCED) for found in map(work_orders.read_document, may_be) if found.number > self.document.number)
+            *(found.machines_in(work_orders.ANNOUNCED) for found in map(work_orders.read_document, may_be) if found.number > self.document.number)
         )
         self.is_active, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
@@ -400,7 +400,7 @@
         nobody speaks of by themselves stand together, as one that is never asked for."""
         live = self.live()
         machines, told, trouble = {}, {one.zone for one in live if one.loads or any(row.how for row in one.rest)}, {}
-        away = self.document.machines(work_orders.AWAY)
+        away = self.document.machines_in(work_orders.AWAY)
         for name in sorted({name for one in live for name in one.loads} | self.wanted):
             listing = self.listings.get(name, work_orders.Listing())
             if not listing.kind:
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -83,7 +83,7 @@
     def knows(self, ident: str) -> bool:
         return self.of(ident) is not None or any(one.ident == ident for one in self.ended)
 
-    def machines(self, states: Iterable[str]) -> frozenset:
+    def machines_in(self, states: Iterable[str]) -> frozenset:
         return frozenset(one.machine for one in self.orders if one.state in states)
 
     def least(self) -> int:
@@ -418,8 +418,8 @@
     """Announces what the plan begins next, lets go what all were told of, and takes back what the bounds forbid by now."""
     free, running, notes = units(work, sight)
     out = frozenset(machine for unit, _ in running for machine in unit.machines)
-    going = work.machines((GOING,))
-    away = work.machines(AWAY)
+    going = work.machines_in((GOING,))
+    away = work.machines_in(AWAY)
     if going and (why := sight.park.violated_bound(away)):  # the board drained another, a location came into trouble, load rose
         for order in work.orders:
             if order.state == GOING and order.at < number:
--- a/fieldspur/lab/checks/work_order_checker.py
+++ b/fieldspur/lab/checks/work_order_checker.py
@@ -76,7 +76,7 @@
                 self.steps.append((now, ended.machine, ended.how, ended.ident))
                 if ended.how != work_orders.REFUSED:
                     self.checker.told(ended.machine, "up", now)
-        away = found.machines(work_orders.AWAY)
+        away = found.machines_in(work_orders.AWAY)
         if len(away) > self.most:
             self.broke(f"{len(away)} machines away, {self.most} allowed: {', '.join(sorted(away))}")
 
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -209,9 +209,9 @@
                     self.wrong.append(f"{one.machine} free, r{users[0]} has something open there")
                 self.restarts.append((self.now + int(one.needs * SECOND), one.machine))
         for machine in list(self.outs):
-            if machine not in found.machines(work_orders.WITHDRAWN):
+            if machine not in found.machines_in(work_orders.WITHDRAWN):
                 del self.outs[machine]
-        away = found.machines(work_orders.AWAY)
+        away = found.machines_in(work_orders.AWAY)
         self.most_out = max(self.most_out, len(away))
         if len(away) > self.bounds.zone * len(self.listings) or len(away) > self.bounds.at_once:
             self.wrong.append(f"{len(away)} machines away")
