--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -271,7 +271,7 @@
         if not acting:
             self.grants = {}
             return
-        least = max(work_orders.read_document(value).least() for value in values)
+        least = max(work_orders.read_document(value).min_lease_number() for value in values)
         for name, one in self.reports.items():
             counts = name in self.names or name in self.document.routers  # who acts next may not know of others
             if counts and one.count and one.applied_number >= least and self.grants.get(name) != (one.nonce, one.count):
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -86,7 +86,7 @@
     def machines_in(self, states: Iterable[str]) -> frozenset:
         return frozenset(one.machine for one in self.orders if one.state in states)
 
-    def least(self) -> int:
+    def min_lease_number(self) -> int:
         """Who has not applied this number or a later one does not know all that is going or gone: it gets no lease."""
         return max((one.going_at for one in self.orders if one.state in WITHDRAWN), default=0)
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -471,7 +471,7 @@
     found = work_orders.WorkDocument(9, (order,), (work_orders.Ended("b", "c9", work_orders.REFUSED, "why", 4),))
     from fieldspur.fleet import register_codec
 
-    assert work_orders.read_document(register_codec.freeze(work_orders.document_value(found))) == found and found.least() == 5
+    assert work_orders.read_document(register_codec.freeze(work_orders.document_value(found))) == found and found.min_lease_number() == 5
     for bad in (3, "x", ("x", (), ()), (1, (("a",),), ()), (1, ((*order[:6], "away", *order[7:]),), ()), (1, 2, 3), (1, {}, ())):
         with pytest.raises(work_orders.BadOrder):
             work_orders.read_document(bad)
