--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -382,7 +382,7 @@
     if state == GOING:
         users = sight.members_that_may_use(order.going_at)
         if not users:
-            return moved(order, OUT, number, now)._replace(started=listing.started, where=listing.where)
+            return moved(order, OUT, number, now)._replace(started=listing.started, where=listing.address)
         return noted(order, f"{names(users)} may still use it")
     if state == OUT:
         users = sight.members_with_open_hops(order.machine, order.going_at)
@@ -392,8 +392,8 @@
     if state == FREE:
         if listing.state == "gone":
             return noted(order, "gone from the board while out")
-        if listing.where != order.where:
-            return noted(order, f"back at another address: {listing.where}")
+        if listing.address != order.where:
+            return noted(order, f"back at another address: {listing.address}")
         if listing.state == "up" and listing.started > order.started:
             return moved(order, BACK, number, now)
         if now - order.since > OVERDUE * 1000 * order.needs:
