--- a/fieldspur/bench/takeover.py
+++ b/fieldspur/bench/takeover.py
@@ -20,7 +20,7 @@
 from fieldspur.bench.path import ROOT, BenchFailed, free_port
 from fieldspur.bench.sample_settings import node_file
 from fieldspur.bench.start import Board
-from fieldspur.fleet.admin import line_of
+from fieldspur.fleet.admin import fetch_line
 
 LOOK = 0.02  # s
 LONGEST = 30.0
@@ -69,7 +69,7 @@
         self.processes[n] = subprocess.Popen([sys.executable, "-B", "-O", "-m", "fieldspur"], env=env, cwd=ROOT, stderr=subprocess.DEVNULL)
 
     def lines(self, but: int = -1) -> list[dict]:
-        found = [line_of((self.host, port), 0.5) for n, port in enumerate(self.ports) if n != but]
+        found = [fetch_line((self.host, port), 0.5) for n, port in enumerate(self.ports) if n != but]
         return [line for line in found if line is not None]
 
     def acting(self, but: int = -1) -> int | None:
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -40,7 +40,7 @@
     report: Report | None
 
 
-def line_of(address: tuple[str, int], wait: float = ANSWER) -> dict | None:
+def fetch_line(address: tuple[str, int], wait: float = ANSWER) -> dict | None:
     """The line that a member publishes now; None where it can't be reached or says none in time."""
     try:
         with socket.create_connection(address, timeout=wait) as sock:
@@ -84,7 +84,7 @@
     found: dict[str, Told | str] = {}
     for name in sorted(fleet.members):
         address, zone = member(fleet.members[name])
-        line = line_of(address)
+        line = fetch_line(address)
         if line is None:
             found[name] = "can't be reached"
         elif line.get("fleet") != fleet.name:
