--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -79,7 +79,7 @@
     )
 
 
-def members(fleet: Fleet) -> dict[str, Told | str]:
+def read_members(fleet: Fleet) -> dict[str, Told | str]:
     """By name what each member of the file says, or why nothing is known of it."""
     found: dict[str, Told | str] = {}
     for name in sorted(fleet.members):
@@ -244,7 +244,7 @@
     """Waits until the fleet has agreed on that order as `how(order or ended)` wants it; raises Refused with what stands meanwhile."""
     end, seen = time.monotonic() + wait, None
     while True:
-        document = latest(members(fleet))
+        document = latest(read_members(fleet))
         seen = document.find(order) or next((one for one in document.ended if one.ident == order), None)
         if seen is not None and how(seen):
             return seen
