--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -412,7 +412,7 @@
     """Each member as it publishes itself. Code 1 where none acts."""
     desk, _, wishes = desk_of(file)
     found = desk.read_members(wishes)
-    acts, counted = desk.acting(found, wishes), desk.latest(found).routers
+    acts, counted = desk.find_coordinator(found, wishes), desk.latest(found).routers
     rows = [
         {"member": name, "why": one}
         if isinstance(one, str)
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -101,7 +101,7 @@
     return max((one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.EMPTY_DOCUMENT)
 
 
-def acting(found: dict[str, Told | str], fleet: Fleet) -> str | None:
+def find_coordinator(found: dict[str, Told | str], fleet: Fleet) -> str | None:
     """The member whose ballot a majority keeps, by what they publish."""
     names = sorted(fleet.votes or fleet.members)
     ballots = [one.ballot for one in found.values() if isinstance(one, Told) and one.life]
