--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -412,7 +412,7 @@
     """Each member as it publishes itself. Code 1 where none acts."""
     desk, _, wishes = desk_of(file)
     found = desk.read_members(wishes)
-    acts, counted = desk.find_coordinator(found, wishes), desk.latest(found).routers
+    acts, counted = desk.find_coordinator(found, wishes), desk.latest_document(found).routers
     rows = [
         {"member": name, "why": one}
         if isinstance(one, str)
@@ -476,7 +476,7 @@
 def work_show(file, as_json) -> None:
     """Orders as the fleet agreed on them, and how the last ones ended."""
     desk, _, wishes = desk_of(file)
-    document = desk.latest(desk.read_members(wishes))
+    document = desk.latest_document(desk.read_members(wishes))
     if as_json:
         return click.echo(
             json.dumps(
@@ -518,7 +518,7 @@
     """Ask for a machine to be taken out."""
     desk, path, wishes = desk_of(file)
     with spoken(file):
-        order = desk.add(path, desk.latest(desk.read_members(wishes)), machine, needs, before, beside)
+        order = desk.add(path, desk.latest_document(desk.read_members(wishes)), machine, needs, before, beside)
     said(desk, path, wishes, order, pid, wait, lambda found: True)
 
 
@@ -530,7 +530,7 @@
     @asking
     def command(order, file, pid, wait) -> None:
         desk, path, wishes = desk_of(file)
-        document = desk.latest(desk.read_members(wishes))
+        document = desk.latest_document(desk.read_members(wishes))
         found = next((one for one in document.orders if order in (one.ident, one.machine)), None)
         if found is None:
             raise click.ClickException(f"{order}: no such order; `fieldspur fleet work show` lists them")
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -97,7 +97,7 @@
     return found
 
 
-def latest(found: dict[str, Told | str]) -> work_orders.WorkDocument:
+def latest_document(found: dict[str, Told | str]) -> work_orders.WorkDocument:
     return max((one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.EMPTY_DOCUMENT)
 
 
@@ -244,7 +244,7 @@
     """Waits until the fleet has agreed on that order as `how(order or ended)` wants it; raises Refused with what stands meanwhile."""
     end, seen = time.monotonic() + wait, None
     while True:
-        document = latest(read_members(fleet))
+        document = latest_document(read_members(fleet))
         seen = document.find(order) or next((one for one in document.ended if one.ident == order), None)
         if seen is not None and how(seen):
             return seen
