--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -397,7 +397,7 @@
     from fieldspur.fleet import admin
 
     with spoken(file):
-        return admin, Path(file), admin.read(Path(file))[1]
+        return admin, Path(file), admin.read_operators_file(Path(file))[1]
 
 
 @main.group()
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -115,7 +115,7 @@
 # The file.
 
 
-def read(path: Path) -> tuple[dict, Fleet]:
+def read_operators_file(path: Path) -> tuple[dict, Fleet]:
     """The file as it stands, and its checked fleet; raises BadFile."""
     try:
         data = path.read_bytes()
@@ -132,7 +132,7 @@
     old or the new one. Two at once take turns. Raises BadFile, and then nothing is changed; what `what` gives back."""
     with open(path.with_name(path.name + ".lock"), "w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
-        value, _ = read(path)
+        value, _ = read_operators_file(path)
         rows = value["fleet"].setdefault(key, [])
         given = what(rows)
         data = (json.dumps(value, indent=2) + "\n").encode()
