--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -127,7 +127,7 @@
     return json.loads(data), fleet
 
 
-def change(path: Path, what, key: str = "work") -> Any:
+def change_operators_file(path: Path, what, key: str = "work") -> Any:
     """Applies `what(rows)` to the file's orders, or another list of its fleet, and writes the whole anew, so that a reader finds the
     old or the new one. Two at once take turns. Raises BadFile, and then nothing is changed; what `what` gives back."""
     with open(path.with_name(path.name + ".lock"), "w") as lock:
@@ -173,7 +173,7 @@
         )
         return made
 
-    return change(path, what)
+    return change_operators_file(path, what)
 
 
 def mark(path: Path, order: work_orders.Order, key: str, yes: bool = True) -> None:
@@ -192,7 +192,7 @@
         else:
             row.pop(key, None)
 
-    change(path, what)
+    change_operators_file(path, what)
 
 
 def out(path: Path, name: str, yes: bool) -> None:
@@ -201,7 +201,7 @@
     def what(rows: list) -> None:
         rows[:] = [row for row in rows if row != name] + [name] * yes
 
-    change(path, what, "left")
+    change_operators_file(path, what, "left")
 
 
 def routers(path: Path) -> list[int]:
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -83,7 +83,7 @@
     os.chmod(path, 0o640)
     before = path.read_bytes()
     with pytest.raises(BadFile, match="needs_s"):
-        admin.change(path, lambda rows: rows.append({"machine": "c1", "needs_s": -1}))
+        admin.change_operators_file(path, lambda rows: rows.append({"machine": "c1", "needs_s": -1}))
     assert path.read_bytes() == before and [one.name for one in tmp_path.iterdir()] == ["operators.json", "operators.json.lock"]
-    admin.change(path, lambda rows: rows.append({"machine": "c1", "needs_s": 3}))
+    admin.change_operators_file(path, lambda rows: rows.append({"machine": "c1", "needs_s": 3}))
     assert admin.read_operators_file(path)[1].work == [{"machine": "c1", "needs_s": 3}] and path.stat().st_mode & 0o777 == 0o640
