--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -518,7 +518,7 @@
     """Ask for a machine to be taken out."""
     desk, path, wishes = desk_of(file)
     with spoken(file):
-        order = desk.add(path, desk.latest_document(desk.read_members(wishes)), machine, needs, before, beside)
+        order = desk.add_request(path, desk.latest_document(desk.read_members(wishes)), machine, needs, before, beside)
     said(desk, path, wishes, order, pid, wait, lambda found: True)
 
 
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -154,7 +154,7 @@
     return row.get("id") or ident(row)
 
 
-def add(path: Path, document: work_orders.WorkDocument, machine: str, needs: float, before: float = 0.0, beside: tuple = ()) -> str:
+def add_request(path: Path, document: work_orders.WorkDocument, machine: str, needs: float, before: float = 0.0, beside: tuple = ()) -> str:
     """A new order, under a name of its own, so that a machine may be worked on again later. Those that have ended by the document
     leave the file."""
     over = {one.ident for one in document.ended}
