--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -454,7 +454,7 @@
     def command(member, file, pid) -> None:
         desk, path, _ = desk_of(file)
         with spoken(file):
-            desk.out(path, member, yes)
+            desk.set_left(path, member, yes)
             desk.signalled(path, pid)
         click.echo(f"{member} {'has left' if yes else 'may join'}")
 
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -195,7 +195,7 @@
     change_operators_file(path, what)
 
 
-def out(path: Path, name: str, yes: bool) -> None:
+def set_left(path: Path, name: str, yes: bool) -> None:
     """A member that does not vote has left for good, or may join again."""
 
     def what(rows: list) -> None:
