--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -455,7 +455,7 @@
         desk, path, _ = desk_of(file)
         with spoken(file):
             desk.set_left(path, member, yes)
-            desk.signalled(path, pid)
+            desk.signal_router(path, pid)
         click.echo(f"{member} {'has left' if yes else 'may join'}")
 
     return command
@@ -498,7 +498,7 @@
 def said(desk, path, wishes, order: str, pid, wait: float, how) -> None:
     """The router is told, and what the fleet makes of it is shown; code 1 where it is refused or not settled in time."""
     with spoken(str(path)):
-        desk.signalled(path, pid)
+        desk.signal_router(path, pid)
         if not wait:
             return click.echo(f"asked for as {order}")
         found = desk.settled(wishes, order, wait, how)
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -225,7 +225,7 @@
     return found
 
 
-def signalled(path: Path, pid: int | None) -> int:
+def signal_router(path: Path, pid: int | None) -> int:
     """Tells the router that reads that file to read it again; raises Refused where there is not just one."""
     found = [pid] if pid else routers(path)
     if len(found) != 1:
