--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -501,7 +501,7 @@
         desk.signal_router(path, pid)
         if not wait:
             return click.echo(f"asked for as {order}")
-        found = desk.settled(wishes, order, wait, how)
+        found = desk.wait_until_settled(wishes, order, wait, how)
     if hasattr(found, "how"):
         click.echo(f"{found.machine} {found.how} {found.ident}{': ' + found.why if found.why else ''}")
         raise SystemExit(1 if found.how == "refused" else 0)
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -240,7 +240,7 @@
     return found[0]
 
 
-def settled(fleet: Fleet, order: str, wait: float, how) -> work_orders.Order | work_orders.Ended:
+def wait_until_settled(fleet: Fleet, order: str, wait: float, how) -> work_orders.Order | work_orders.Ended:
     """Waits until the fleet has agreed on that order as `how(order or ended)` wants it; raises Refused with what stands meanwhile."""
     end, seen = time.monotonic() + wait, None
     while True:
