--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -89,7 +89,7 @@
 
     # The fleet's side.
 
-    def keep_off(self, off: frozenset, backs: frozenset) -> None:
+    def withdraw(self, off: frozenset, backs: frozenset) -> None:
         """These machines are not to be used from now on; those of `backs` are back, cold from when it was heard first."""
         with self.lock:
             fresh = {machine for machine, number in backs - self.backs}
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -288,7 +288,7 @@
                 found, off, backs = self.coordinator.document, self.coordinator.withdrawn(at), self.coordinator.returning()
                 doubt, sure = self.coordinator.list_unknown(at), self.node.knows()
             self.unsure = self.coordinator.announced()
-            self.overlay.keep_off(off, backs)
+            self.overlay.withdraw(off, backs)
             open_at = self.overlay.open_at(sorted(self.unsure))
             with self.lock:
                 if not self.failed:  # what is not on disk is not said: after a crash this member would not know it
--- a/tests/test_names_that_never_come_again.py
+++ b/tests/test_names_that_never_come_again.py
@@ -34,7 +34,7 @@
     """Each name that was ever listed was kept until the next complete list, and looked through with each change."""
     found = overlay()
     found.list_told(ListChange(True, tuple(listed(f"c{n}") for n in range(STANDING))))
-    found.keep_off(frozenset(("c1", "fresh-3")), frozenset())
+    found.withdraw(frozenset(("c1", "fresh-3")), frozenset())
     renamed(found, 3000)
     assert len(found.rows) <= STANDING + GONE_KEPT + 1 and set(found.listings) == set(found.rows)
     assert {f"c{n}" for n in range(STANDING)} <= set(found.rows)
