--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -104,7 +104,7 @@
                 self.route.list_told(ListChange(False, rows))
         self.route.handle()
 
-    def doubted(self, doubt: Callable[[str], bool] | None) -> None:
+    def set_usage_check(self, doubt: Callable[[str], bool] | None) -> None:
         """What asks, just before each write, whether a server may be used at this very moment."""
         self.route.sender.rules.in_doubt = doubt
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -141,7 +141,7 @@
         for peer in self.peers:
             peer.want(True)
         self.followers: dict[str, Peer] = {}  # read while this member acts
-        overlay.doubted(self.doubted)
+        overlay.set_usage_check(self.doubted)
         self.apply()
         log.info(
             "member",
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -41,7 +41,7 @@
 }
 SABOTAGE = {
     "it uses what is out": "from fieldspur.fleet.list_overlay import ServerListOverlay\nOverlay.shown = lambda self, row: row\n"
-    "ServerListOverlay.doubted = lambda self, doubt: None\n",
+    "ServerListOverlay.set_usage_check = lambda self, doubt: None\n",
     "free too early": "from fieldspur.fleet.coordinator import Coordinator\nForeman.open_at = lambda *about: []\n",
     "no bounds": "from fieldspur.fleet.planner import MachinePool\nPark.violated_bound = lambda *about: ''\n",
     "two documents": "from fieldspur.fleet.member import Node\nline = Node.line\n"
