--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -108,7 +108,7 @@
         """What asks, just before each write, whether a server may be used at this very moment."""
         self.route.sender.rules.in_doubt = doubt
 
-    def turn_away(self, yes: bool) -> None:
+    def reject_all(self, yes: bool) -> None:
         """The router serves nothing while it can't know what is out."""
         if yes == self.shut:
             return
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -294,7 +294,7 @@
                 if not self.failed:  # what is not on disk is not said: after a crash this member would not know it
                     self.coordinator.mark_applied(found.number, open_at)
             if self.coordinator.strict:
-                self.overlay.turn_away(doubt)
+                self.overlay.reject_all(doubt)
             if sure:
                 self.known.set()
             self.tell(found)
