--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -124,7 +124,7 @@
             log.warning("fleet_unheard", extra={"kv": {"why": "no member told what is out for work; the board's list stands"}})
         self.route.post(self.route.open, "current" if told else "no word of the board")
         if self.talk is not None:
-            self.talk.overlay.opened()
+            self.talk.overlay.startup_gate_opened()
         if self.client_listener.open():
             log.info("ready", extra={"kv": {"name": self.node.name, "listen": "%s:%d" % self.node.listen}})
 
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -120,7 +120,7 @@
         else:
             self.route.post(self.route.open, "word of the fleet")
 
-    def opened(self) -> None:
+    def startup_gate_opened(self) -> None:
         """The start's gate has opened. Guards against a router that starts in doubt and serves, for its doubt was older."""
         self.started = True
         if self.shut:
