--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -126,7 +126,7 @@
         if self.shut:
             self.route.post(self.route.shut, Shut(), "no word of the fleet")
 
-    def open_at(self, machines) -> dict[str, int]:
+    def count_open_hops(self, machines) -> dict[str, int]:
         """Hops that are open there, and those that name it as their source."""
         found, servers = {}, self.route.router.fleet.servers
         for name in machines:
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -289,7 +289,7 @@
                 doubt, sure = self.coordinator.list_unknown(at), self.node.knows()
             self.unsure = self.coordinator.announced()
             self.overlay.withdraw(off, backs)
-            open_at = self.overlay.open_at(sorted(self.unsure))
+            open_at = self.overlay.count_open_hops(sorted(self.unsure))
             with self.lock:
                 if not self.failed:  # what is not on disk is not said: after a crash this member would not know it
                     self.coordinator.mark_applied(found.number, open_at)
