--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -134,7 +134,7 @@
             found[name] = len(server.out) + len(server.feeds) if server is not None else 0
         return found
 
-    def look(self, done: Callable[[dict, tuple], None]) -> None:
+    def request_loads(self, done: Callable[[dict, tuple], None]) -> None:
         """Posts a look at the Router, that calls `done(loads, turned)` within it."""
         self.route.post(self.looked, done)
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -228,7 +228,7 @@
                 self.read_again()
             if time.monotonic() - looked >= (LOOK_BACK if self.coordinator.returning() else LOOK):
                 looked = time.monotonic()
-                self.overlay.look(self.looked)
+                self.overlay.request_loads(self.looked)
             with self.lock:
                 self.coordinator.unix_ms, self.coordinator.listings = time.time_ns() // 1_000_000, self.overlay.listings
                 self.node.tick(now())
