--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -67,7 +67,7 @@
                 if row.state == "gone":
                     self.gone[row.name] = None
             self.forget_gone()
-            self.route.list_told(ListChange(change.complete, tuple(map(self.shown, change.servers))), now)
+            self.route.list_told(ListChange(change.complete, tuple(map(self.as_routed, change.servers))), now)
 
     def listing(self, row: ListedServer) -> Listing:
         kind = self.kinds.get(row.kind, "") if row.zone in self.site.zones else ""
@@ -82,7 +82,7 @@
                 del self.gone[name], self.rows[name], self.listings[name]
                 self.back.pop(name, None)
 
-    def shown(self, row: ListedServer) -> ListedServer:
+    def as_routed(self, row: ListedServer) -> ListedServer:
         if row.state == "up" and row.name in self.off:
             return replace(row, state="draining")
         return replace(row, started=self.back[row.name]) if self.back.get(row.name, 0) > row.started else row
@@ -98,7 +98,7 @@
                 return
             self.off, self.backs = off, backs
             self.back |= dict.fromkeys(fresh, time.time_ns() // MS * MS)
-            rows = tuple(self.shown(self.rows[name]) for name in sorted(changed) if name in self.rows)
+            rows = tuple(self.as_routed(self.rows[name]) for name in sorted(changed) if name in self.rows)
             self.route.gather()
             if rows:
                 self.route.list_told(ListChange(False, rows))
