--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -34,7 +34,7 @@
         kinds, fleet = self.site.kinds, self.site.fleet
         self.kinds = {name: "parent" if n == fleet["parent_kind"] else "cache" for n, name in enumerate(kinds) if n != fleet["origin_kind"]}
         self.lock = threading.Lock()
-        self.rows: dict[str, ListedServer] = {}
+        self.servers: dict[str, ListedServer] = {}
         self.gone: dict[str, None] = {}  # names of those rows that are gone, in the order in which they went
         self.off: frozenset = frozenset()
         self.back: dict[str, int] = {}  # machine: Unix ns at which it was heard to be back
@@ -58,8 +58,8 @@
     def list_told(self, change: ListChange, now: bool = False) -> None:
         with self.lock:  # one list change after the other; the thread of the board gathers meanwhile and waits for nobody
             if change.complete:
-                self.rows, self.gone, self.listings = {}, {}, {}
-            self.rows |= {row.name: row for row in change.servers}
+                self.servers, self.gone, self.listings = {}, {}, {}
+            self.servers |= {row.name: row for row in change.servers}
             # A new dict each time: who goes by the listings sees by that that they are others.
             self.listings = self.listings | {row.name: self.listing(row) for row in change.servers}
             for row in change.servers:
@@ -79,7 +79,7 @@
             return
         for name in list(self.gone)[:-GONE_KEPT]:
             if name not in self.off:
-                del self.gone[name], self.rows[name], self.listings[name]
+                del self.gone[name], self.servers[name], self.listings[name]
                 self.back.pop(name, None)
 
     def as_routed(self, row: ListedServer) -> ListedServer:
@@ -98,7 +98,7 @@
                 return
             self.off, self.backs = off, backs
             self.back |= dict.fromkeys(fresh, time.time_ns() // MS * MS)
-            rows = tuple(self.as_routed(self.rows[name]) for name in sorted(changed) if name in self.rows)
+            rows = tuple(self.as_routed(self.servers[name]) for name in sorted(changed) if name in self.servers)
             self.route.gather()
             if rows:
                 self.route.list_told(ListChange(False, rows))
--- a/tests/test_names_that_never_come_again.py
+++ b/tests/test_names_that_never_come_again.py
@@ -36,10 +36,10 @@
     found.list_told(ListChange(True, tuple(listed(f"c{n}") for n in range(STANDING))))
     found.withdraw(frozenset(("c1", "fresh-3")), frozenset())
     renamed(found, 3000)
-    assert len(found.rows) <= STANDING + GONE_KEPT + 1 and set(found.listings) == set(found.rows)
-    assert {f"c{n}" for n in range(STANDING)} <= set(found.rows)
+    assert len(found.servers) <= STANDING + GONE_KEPT + 1 and set(found.listings) == set(found.servers)
+    assert {f"c{n}" for n in range(STANDING)} <= set(found.servers)
     assert found.listings["fresh-3"].state == "gone"  # what is out for work is told from one that was never there
-    assert found.listings["fresh-2999"].state == "gone" and "fresh-4" not in found.rows
+    assert found.listings["fresh-2999"].state == "gone" and "fresh-4" not in found.servers
     assert not found.back
 
 
