--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -37,7 +37,7 @@
         self.servers: dict[str, ListedServer] = {}
         self.gone: dict[str, None] = {}  # names of those rows that are gone, in the order in which they went
         self.off: frozenset = frozenset()
-        self.back: dict[str, int] = {}  # machine: Unix ns at which it was heard to be back
+        self.returned_at: dict[str, int] = {}  # machine: Unix ns at which it was heard to be back
         self.backs: frozenset = frozenset()  # (machine, number) that were heard
         self.listings: dict[str, Listing] = {}
         self.shut = self.started = False
@@ -80,12 +80,12 @@
         for name in list(self.gone)[:-GONE_KEPT]:
             if name not in self.off:
                 del self.gone[name], self.servers[name], self.listings[name]
-                self.back.pop(name, None)
+                self.returned_at.pop(name, None)
 
     def as_routed(self, row: ListedServer) -> ListedServer:
         if row.state == "up" and row.name in self.off:
             return replace(row, state="draining")
-        return replace(row, started=self.back[row.name]) if self.back.get(row.name, 0) > row.started else row
+        return replace(row, started=self.returned_at[row.name]) if self.returned_at.get(row.name, 0) > row.started else row
 
     # The fleet's side.
 
@@ -97,7 +97,7 @@
             if not changed:
                 return
             self.off, self.backs = off, backs
-            self.back |= dict.fromkeys(fresh, time.time_ns() // MS * MS)
+            self.returned_at |= dict.fromkeys(fresh, time.time_ns() // MS * MS)
             rows = tuple(self.as_routed(self.servers[name]) for name in sorted(changed) if name in self.servers)
             self.route.gather()
             if rows:
--- a/tests/test_names_that_never_come_again.py
+++ b/tests/test_names_that_never_come_again.py
@@ -40,7 +40,7 @@
     assert {f"c{n}" for n in range(STANDING)} <= set(found.servers)
     assert found.listings["fresh-3"].state == "gone"  # what is out for work is told from one that was never there
     assert found.listings["fresh-2999"].state == "gone" and "fresh-4" not in found.servers
-    assert not found.back
+    assert not found.returned_at
 
 
 def test_a_change_of_the_list_costs_a_fleet_the_same_however_many_names_came_before():
