--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -104,7 +104,7 @@
         self.nodes[n] = self.new(n)
 
 
-class Yard(World):
+class SimulatedFleet(World):
     """Routers that use machines by what they know, and may see hops of theirs last as long as a txn may. Each step holds them to
     what is promised: nothing new to a machine 250 ms after it was out, no `free` with anything open, the bounds, one order."""
 
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from simulated_fleet import LENGTH, LONGEST, MS, SECOND, Yard
+from simulated_fleet import LENGTH, LONGEST, MS, SECOND, SimulatedFleet
 
 from fieldspur.fleet import coordinator, planner, work_orders
 from fieldspur.fleet.list_lease import GrantedListLeases, ListLease
@@ -12,7 +12,7 @@
 
 
 def begun(*about, **more):
-    yard = Yard(*about, **more)
+    yard = SimulatedFleet(*about, **more)
     yard.begin()
     return yard
 
