--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -11,7 +11,7 @@
 from collections import defaultdict
 
 from fieldspur.fleet import consensus, planner, work_orders
-from fieldspur.fleet.coordinator import SLOW_START, HEALTHY, Coordinator, without_loads
+from fieldspur.fleet.coordinator import HEALTHY, SLOW_START, Coordinator, without_loads
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.member import Node
 
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -98,7 +98,9 @@
 
 
 def latest_document(found: dict[str, Told | str]) -> work_orders.WorkDocument:
-    return max((one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.EMPTY_DOCUMENT)
+    return max(
+        (one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.EMPTY_DOCUMENT
+    )
 
 
 def find_coordinator(found: dict[str, Told | str], fleet: Fleet) -> str | None:
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -81,7 +81,7 @@
         raise register_codec.BadLine("work.zone, work.strict or work.doubt: a name, true or false wanted")
     return Report(
         nonce,
-        register_codec.whole_number(raw.get("holds"), "work.applied_number"),
+        register_codec.whole_number(raw.get("holds"), "work.holds"),
         register_codec.whole_number(raw.get("count"), "work.count"),
         {name: register_codec.whole_number(many, "work.open") for name, many in open_at.items()},
         raw["strict"],
@@ -259,7 +259,11 @@
         goes by an older document than they need gets no lease, for it may use what is out by one of them. `gone`: members that are
         suspected, by number or name. `may_be`: values that are decided somewhere, or may be, though not known here as such."""
         self.perhaps = frozenset().union(
-            *(found.machines_in(work_orders.ANNOUNCED) for found in map(work_orders.read_document, may_be) if found.number > self.document.number)
+            *(
+                found.machines_in(work_orders.ANNOUNCED)
+                for found in map(work_orders.read_document, may_be)
+                if found.number > self.document.number
+            )
         )
         self.is_active, self.founded = acting, founded
         self.gone = frozenset(self.names[one] if type(one) is int else one for one in gone)
@@ -357,7 +361,11 @@
         found = [self.own] if self.applied_number < number or self.open.get(machine, 1) else []
         for name in self.others():
             one = self.reports.get(name)
-            if one is not None and not one.open.get(machine, 1) and (one.applied_number >= number or one.doubt and self.granted_leases.has_ended(name, now)):
+            if (
+                one is not None
+                and not one.open.get(machine, 1)
+                and (one.applied_number >= number or one.doubt and self.granted_leases.has_ended(name, now))
+            ):
                 continue
             heard = one is not None and name not in self.gone
             if not heard and self.granted_leases.has_ended(name, now, self.longest + SLACK):
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -18,7 +18,15 @@
     fenced = False
 
     def __init__(
-        self, fleet: str, name: str, nonce: int, members: int, now: int, length: int, coordinator: Coordinator, kept: StampedValue | None = None
+        self,
+        fleet: str,
+        name: str,
+        nonce: int,
+        members: int,
+        now: int,
+        length: int,
+        coordinator: Coordinator,
+        kept: StampedValue | None = None,
     ):
         self.fleet, self.name, self.nonce, self.coordinator = fleet, name, nonce, coordinator
         self.beat = length // BEATS
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from fieldspur.decide import Fleet
-from fieldspur.fleet.coordinator import SLOW_START, EJECTED, MOST_LOADS, HEALTHY
+from fieldspur.fleet.coordinator import EJECTED, HEALTHY, MOST_LOADS, SLOW_START
 from fieldspur.fleet.work_orders import Listing
 from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.permissions import Shut
@@ -144,7 +144,13 @@
         loads = {}
         for at, server in enumerate([*fleet.caches, *fleet.parents][:MOST_LOADS]):
             parent = at >= len(fleet.caches)
-            how = SLOW_START if fleet.is_cold(server, now) else HEALTHY if fleet.healthy(server, now) or now >= server.ejected_until else EJECTED
+            how = (
+                SLOW_START
+                if fleet.is_cold(server, now)
+                else HEALTHY
+                if fleet.healthy(server, now) or now >= server.ejected_until
+                else EJECTED
+            )
             share = fleet.cold[parent][0]
             fits = server.rating if parent else max(server.fits / share, 0.01)
             load = fleet.rate(server, now)
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -71,7 +71,7 @@
     number: int  # of the document that ended it
 
 
-class Work(NamedTuple):
+class WorkDocument(NamedTuple):
     number: int = 0
     orders: tuple[Order, ...] = ()
     ended: tuple[Ended, ...] = ()
@@ -91,10 +91,10 @@
         return max((one.going_at for one in self.orders if one.state in WITHDRAWN), default=0)
 
 
-EMPTY_DOCUMENT = Work()
+EMPTY_DOCUMENT = WorkDocument()
 
 
-def document_value(work: Work) -> list:
+def document_value(work: WorkDocument) -> list:
     """As it is agreed and published: lists of plain values."""
     return [
         work.number,
@@ -119,7 +119,7 @@
     return kind(*raw[: len(names)])
 
 
-def read_document(raw: Any) -> Work:
+def read_document(raw: Any) -> WorkDocument:
     """The document from what was agreed, of tuples; None stands for none so far. Raises BadOrder."""
     try:
         return parsed(raw)
@@ -128,7 +128,7 @@
 
 
 @lru_cache(maxsize=16)  # the same few are asked for at each line that comes
-def parsed(raw: Any) -> Work:
+def parsed(raw: Any) -> WorkDocument:
     if raw is None or raw == ():
         return EMPTY_DOCUMENT
     if type(raw) is not tuple or len(raw) < 3 or type(raw[0]) is not int or not all(type(rows) is tuple for rows in raw[1:3]):
@@ -140,7 +140,7 @@
     routers = raw[3] if len(raw) > 3 else ()
     if type(routers) is not tuple or not all(type(one) is str for one in routers):
         raise BadOrder("work.routers: names wanted")
-    return Work(
+    return WorkDocument(
         raw[0],
         tuple(one._replace(beside=tuple(one.beside)) for one in orders),
         tuple(row(Ended, one, f"work.ended[{n}]") for n, one in enumerate(raw[2])),
@@ -151,7 +151,7 @@
 # What members ask for.
 
 
-def asks(wishes: Iterable[WorkRequest], work: Work, own: str) -> tuple[tuple, ...]:
+def asks(wishes: Iterable[WorkRequest], work: WorkDocument, own: str) -> tuple[tuple, ...]:
     """What the member `own` publishes so long as its wishes and the document differ: (verb, ident, ...)."""
     wishes, found = list(wishes), []
     for wish in wishes:
@@ -209,7 +209,7 @@
 
     state: str = "gone"  # or "up", "draining"
     started: int = 0  # Unix ms, 0 where not told
-    where: str = ""
+    address: str = ""
     zone: str = ""
     kind: str = ""  # "cache" or "parent"; others are not served here
     rating: float = 0.0
@@ -235,7 +235,7 @@
     return ", ".join(found[:3]) + (f" and {len(found) - 3} more" if len(found) > 3 else "")
 
 
-def refusal(work: Work, ask: tuple, by: str, sight: FleetView) -> str:
+def refusal(work: WorkDocument, ask: tuple, by: str, sight: FleetView) -> str:
     """Why an order can't be taken; '' where it can."""
     machine = ask[2]
     same = next((one for one in work.orders if one.machine == machine), None)
@@ -250,7 +250,7 @@
     return ""
 
 
-def counted(work: Work, verb: str, name: str, by: str, asked: list) -> Work:
+def counted(work: WorkDocument, verb: str, name: str, by: str, asked: list) -> WorkDocument:
     """A router joins by its own word, and leaves by an operator's at any member, which goes before."""
     leaves = verb == "leave" or any(ask[:2] == ("leave", name) for _, ask in asked)
     if leaves:
@@ -260,7 +260,7 @@
     return work._replace(routers=tuple(sorted((*work.routers, name))))
 
 
-def taken(work: Work, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> Work:
+def taken(work: WorkDocument, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> WorkDocument:
     """The document with what members ask for: (member, ask) each, in an order that does not matter to what is refused twice."""
     number, asked = work.number + 1, sorted(asked)
     for by, ask in asked:
@@ -289,14 +289,14 @@
     return work
 
 
-def end(work: Work, order: Order, how: str, why: str, number: int) -> Work:
+def end(work: WorkDocument, order: Order, how: str, why: str, number: int) -> WorkDocument:
     return work._replace(
         orders=tuple(one for one in work.orders if one.ident != order.ident),
         ended=(*work.ended, Ended(order.ident, order.machine, how, why[:MOST_NOTE], number))[-MOST_ENDED:],
     )
 
 
-def put(work: Work, order: Order) -> Work:
+def put(work: WorkDocument, order: Order) -> WorkDocument:
     return work._replace(orders=tuple(order if one.ident == order.ident else one for one in work.orders))
 
 
@@ -309,7 +309,7 @@
     return order
 
 
-def group(order: Order, work: Work) -> list[Order]:
+def group(order: Order, work: WorkDocument) -> list[Order]:
     """The order with those that must be out together with it, all of which are asked for."""
     found = {order.machine}
     while True:
@@ -320,7 +320,7 @@
         found |= more
 
 
-def whole(order: Order, work: Work) -> str:
+def whole(order: Order, work: WorkDocument) -> str:
     """What is missing for it to go: those beside it that nobody asked for yet, or that are held."""
     there = {one.machine: one for one in group(order, work)}
     lacking = sorted(name for one in there.values() for name in one.beside if name not in there)
@@ -328,7 +328,7 @@
     return f"nobody asked for {lacking[0]}" if lacking else f"{held[0]} is held" if held else ""
 
 
-def units(work: Work, sight: FleetView) -> tuple[list, list, dict]:
+def units(work: WorkDocument, sight: FleetView) -> tuple[list, list, dict]:
     """Those that may begin, those that are away with s until they are back, and what the others wait for, by ident."""
     free, running, notes, seen = [], [], {}, set()
     for order in work.orders:
@@ -359,7 +359,7 @@
     return max(1.0, parts - spent)
 
 
-def next_document(work: Work, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> Work | None:
+def next_document(work: WorkDocument, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> WorkDocument | None:
     """The document that follows, None where nothing does."""
     found = taken(work, asked, sight)
     number = work.number + 1
@@ -375,7 +375,7 @@
     return found._replace(number=number)
 
 
-def follows(order: Order, work: Work, sight: FleetView, number: int) -> Order | None:
+def follows(order: Order, work: WorkDocument, sight: FleetView, number: int) -> Order | None:
     """An order's next state by what is seen; None where it is done. Each step asks all members, never a timer alone."""
     state, now = order.state, sight.now
     listing = sight.board.get(order.machine, Listing())
@@ -414,7 +414,7 @@
     return order if order.note == note else order._replace(note=note)
 
 
-def chosen(work: Work, sight: FleetView, number: int) -> Work:
+def chosen(work: WorkDocument, sight: FleetView, number: int) -> WorkDocument:
     """Announces what the plan begins next, lets go what all were told of, and takes back what the bounds forbid by now."""
     free, running, notes = units(work, sight)
     out = frozenset(machine for unit, _ in running for machine in unit.machines)
--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -280,5 +280,8 @@
         }
         names = {"fills_s": "fills"}
         park = planner.MachinePool(machines, planner.Bounds(**{names.get(key, key): to for key, to in fleet.bounds.items()}))
-        units = [planner.Unit(f"{n}", frozenset((ask.machine,)), PLANNED_DRAIN_S + ask.needs_s + servers.ramp_s) for n, ask in enumerate(fleet.work)]
+        units = [
+            planner.Unit(f"{n}", frozenset((ask.machine,)), PLANNED_DRAIN_S + ask.needs_s + servers.ramp_s)
+            for n, ask in enumerate(fleet.work)
+        ]
         return planner.make_plan(units, [], park).min_length if units else 0.0
--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -89,7 +89,9 @@
 
     def orders(self, n):
         """The document on work that this member goes by: its number, orders by machine, how others ended."""
-        found = work_orders.read_document(register_codec.freeze((self.said(n) or {"register": {"decided": [0, None]}})["register"]["decided"][1]))
+        found = work_orders.read_document(
+            register_codec.freeze((self.said(n) or {"register": {"decided": [0, None]}})["register"]["decided"][1])
+        )
         return found.number, {one.machine: one for one in found.orders}, {one.machine: one for one in found.ended}
 
     def state(self, n, machine):
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -150,7 +150,9 @@
             for machine in self.listings:
                 if machine not in off and self.random.random() < 0.3:
                     self.hop(n, machine)
-        coordinator.mark_applied(coordinator.document.number, {m: sum(hop[0] == m for hop in self.hops[n]) for m in coordinator.announced()})
+        coordinator.mark_applied(
+            coordinator.document.number, {m: sum(hop[0] == m for hop in self.hops[n]) for m in coordinator.announced()}
+        )
 
     def cold(self, coordinator, machine, now):
         return any(
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -17,7 +17,9 @@
 
 
 def forbidden(machines, names, trouble=None, **bounds):
-    return MachinePool(machines, Bounds(**{"zone": 1.0, "all": 1.0, "both": 1.0, "headroom": 1.0} | bounds), trouble).violated_bound(frozenset(names))
+    return MachinePool(machines, Bounds(**{"zone": 1.0, "all": 1.0, "both": 1.0, "headroom": 1.0} | bounds), trouble).violated_bound(
+        frozenset(names)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -61,7 +61,11 @@
             if n == ROUTER and self.paused:
                 continue
             one.tick(
-                self.now, n == self.acting, [register_codec.freeze(work_orders.document_value(self.documents[self.number(n)]))], frozenset(), True
+                self.now,
+                n == self.acting,
+                [register_codec.freeze(work_orders.document_value(self.documents[self.number(n)]))],
+                frozenset(),
+                True,
             )
             one.mark_applied(one.document.number, {"c0": 0} if one.document.number else {})
             register = consensus.blank(n, 3, self.nonces[n])._replace(
@@ -99,7 +103,9 @@
 
     def wrong(self):
         """The router may use the machine though it is out."""
-        return self.out_at is not None and not self.paused and "c0" not in self.members[ROUTER].withdrawn(self.now) and self.number(ROUTER) > 0
+        return (
+            self.out_at is not None and not self.paused and "c0" not in self.members[ROUTER].withdrawn(self.now) and self.number(ROUTER) > 0
+        )
 
     def nonce(self, name):
         return self.nonces[int(name[1:])]
@@ -128,7 +134,8 @@
                     tuple(sorted((m, nonce == self.nonce(m), self.age(m, count)) for m, (nonce, count) in one.grants.items())),
                     tuple(
                         sorted(
-                            (m, rep.applied_number, rep.doubt, rep.nonce == self.nonce(m), self.age(m, rep.count)) for m, rep in one.reports.items()
+                            (m, rep.applied_number, rep.doubt, rep.nonce == self.nonce(m), self.age(m, rep.count))
+                            for m, rep in one.reports.items()
                         )
                     ),
                     one.granted_leases.since and min(self.now - one.granted_leases.since, LENGTH * UNIT + 1),
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize(
     "change, said",
-    [({"state": "gone"}, "gone from the board while out"), ({"where": "h:77"}, "back at another address: h:77"), ({}, "overdue")],
+    [({"state": "gone"}, "gone from the board while out"), ({"address": "h:77"}, "back at another address: h:77"), ({}, "overdue")],
 )
 def test_one_that_does_not_come_back_as_it_was_counts_as_out_and_the_operator_is_told(change, said):
     yard = begun(3, 13, bounds=planner.Bounds(zone=0.2, all=0.2))
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -40,10 +40,11 @@
     "expect": {"completed": 0.8, "orders": 0.5},
 }
 SABOTAGE = {
-    "it uses what is out": "from fieldspur.fleet.list_overlay import ServerListOverlay\nOverlay.shown = lambda self, row: row\n"
+    "it uses what is out": "from fieldspur.fleet.list_overlay import ServerListOverlay\n"
+    "ServerListOverlay.as_routed = lambda self, row: row\n"
     "ServerListOverlay.set_usage_check = lambda self, doubt: None\n",
-    "free too early": "from fieldspur.fleet.coordinator import Coordinator\nForeman.open_at = lambda *about: []\n",
-    "no bounds": "from fieldspur.fleet.planner import MachinePool\nPark.violated_bound = lambda *about: ''\n",
+    "free too early": "from fieldspur.fleet.coordinator import Coordinator\nCoordinator.members_with_open_hops = lambda *about: []\n",
+    "no bounds": "from fieldspur.fleet.planner import MachinePool\nMachinePool.violated_bound = lambda *about: ''\n",
     "two documents": "from fieldspur.fleet.member import Node\nline = Node.line\n"
     "def other(self):\n    found = line(self)\n    value = found['register']['decided'][1]\n"
     "    if value and not self.coordinator.is_active:\n"
