--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -43,7 +43,7 @@
         else:
             at, why = -1, request.why
         ident = next(self.open_txns.idents)
-        if not client_writer.open(request.stream, ident):
+        if not client_writer.open_stream(request.stream, ident):
             return False
         if why:
             self.open_txns.count("unusable")
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -205,7 +205,7 @@
             if not self.writing:
                 self.close_if_done()
 
-    def open(self, stream: int, ident: int) -> bool:
+    def open_stream(self, stream: int, ident: int) -> bool:
         """A txn begins; false where this side was shut before, so that the client sees it as never taken: it crossed the close."""
         with self.lock:
             if not self.shut_at:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -68,7 +68,7 @@
         1,
     )
     send.open_txns.take(txn)
-    assert client_writer.open(stream, ident)
+    assert client_writer.open_stream(stream, ident)
     want = resp.Want(txn.name, rule, txn.obj, 0, 3000, None, None, 0, 0, False, False, True, None, b"")
     return Hop(ident, 0, txn.name, "c0", None, want, now)
 
@@ -234,7 +234,7 @@
     answer_sender = AnswerSender(1 << 20)
     client_writer = ClientWriter(here, encode, answer_sender)
     txn = Txn(5, "%016x" % 5, 0, "media", "a" * 16, 0, 1, 1.0, None, None, b"", 0, clock() - 100 * MS, client_writer, 1)
-    assert client_writer.open(1, 5)
+    assert client_writer.open_stream(1, 5)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
     select.select([here], [], [])
     if lies == "in its reader's hand":
@@ -364,7 +364,9 @@
     open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
     route = SimpleNamespace(gather=lambda: None, handle=lambda: None, post=lambda *about: None, withdrawn=None)
     admit = SimpleNamespace(taken=[], come_back_ms=0)
-    admit.request = lambda request, client_writer, now: client_writer.open(request.stream, 7) and not admit.taken.append(request.stream)
+    admit.request = lambda request, client_writer, now: (
+        client_writer.open_stream(request.stream, 7) and not admit.taken.append(request.stream)
+    )
     return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, open_txns, route, answer_sender)
 
 
@@ -380,7 +382,7 @@
     client_listener = entered()
     there = joins(client_listener)
     client = next(iter(client_listener.clients))
-    client.client_writer.open(1, 5)
+    client.client_writer.open_stream(1, 5)
     assert client.client_writer.answer(1, Answer("completed", body=b"late reader"))
     assert not client.unread() and client.client_writer.shut_if_idle()
     there.ask(2)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -450,10 +450,10 @@
     assert not client.overdue(begun + 1.9) and client.overdue(begun + 2.1) == "idle"
     client.proved = True
     assert not client.overdue(begun + 4.5) and client.overdue(begun + 5.1) == "idle"
-    client.client_writer.open(1, 7)
+    client.client_writer.open_stream(1, 7)
     assert not client.overdue(begun + 60) and not client.client_writer.shut_if_idle()
     client.client_writer.streams.clear()
-    assert client.client_writer.shut_if_idle() and not client.client_writer.open(2, 8) and not client.client_writer.streams
+    assert client.client_writer.shut_if_idle() and not client.client_writer.open_stream(2, 8) and not client.client_writer.streams
 
 
 def test_bytes_of_unfinished_frames_are_bounded_in_sum(run):
