--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -70,7 +70,7 @@
         self.asked = what == UNREAD or bool(self.hops or self.late)
         return what
 
-    def look(self, hop) -> str:
+    def check_client(self, hop) -> str:
         """As `found`; with UNREAD the hop waits here until the reader has worked off what lies there. What came after that, in a turn as
         short as they are, is let be, for some clients send on and on; after a longer one it may hold a cancel that came long ago."""
         with self.lock:  # whoever ends it gives its descriptor away, too
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -142,7 +142,7 @@
         if hop.want is not None:
             txn = self.open_txns.by_id.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
             if txn is not None and now - txn.taken > LOOK_CLIENT:
-                if (found := txn.client_writer.look(hop)) is UNREAD:
+                if (found := txn.client_writer.check_client(hop)) is UNREAD:
                     return False
                 if found is LEFT:
                     if self.open_txns.withdraw(txn.ident, left=True):  # else its reader did so just now
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -196,7 +196,7 @@
     client_listener = entered()
     there = joins(client_listener)
     client = next(iter(client_listener.clients))
-    looker = threading.Thread(target=client.client_writer.look, args=(SimpleNamespace(waited=False),), name="looker")
+    looker = threading.Thread(target=client.client_writer.check_client, args=(SimpleNamespace(waited=False),), name="looker")
     looker.start()
     assert looking.wait(10)
     there.sock.sendall(b"\0\0\0")  # half a frame: nothing in it waits for the look's lock
@@ -221,7 +221,7 @@
 
     monkeypatch.setattr(client.client_writer, "looks", Found())
     hop = SimpleNamespace(waited=False, lane=SimpleNamespace(again=again.append))
-    assert client.client_writer.look(hop) == UNREAD
+    assert client.client_writer.check_client(hop) == UNREAD
     until(lambda: again == [hop], limit=2)
     client_listener.listener.close()
 
@@ -464,7 +464,7 @@
     send = sender(cache.address, open_txns=OpenTxns())
     client_writer = stays(send)
     hop = taken(send, client_writer, before_ms=50)
-    monkeypatch.setattr(client_writer, "look", lambda hop: (send.open_txns.withdraw(5, left=True), LEFT)[1])
+    monkeypatch.setattr(client_writer, "check_client", lambda hop: (send.open_txns.withdraw(5, left=True), LEFT)[1])
     lane = send.hop(hop)
     until(lambda: lane.ready)
     lane.pump()
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -95,7 +95,7 @@
     for attempt in attempts:
         attempt.cut_at = clock() + 3000 * MS
         client_writer = send.open_txns.by_id[attempt.ident].client_writer
-        monkeypatch.setattr(client_writer, "look", slow_look(client_writer.look, order))
+        monkeypatch.setattr(client_writer, "check_client", slow_look(client_writer.check_client, order))
         lane = send.hop(attempt)
     send.looked, send.board = 0, SimpleNamespace(caught_up=lambda: order.append("waits"))
     dialled.set()
