--- a/fieldspur/net/arrival_times.py
+++ b/fieldspur/net/arrival_times.py
@@ -73,7 +73,7 @@
         without a call where `late_since` is NEVER."""
         return self.first() if followed or self.more else self.latest
 
-    def worked_off(self, unfinished: bool) -> None:
+    def all_processed(self, unfinished: bool) -> None:
         """All requests of this read are taken. `unfinished`: it ended within one."""
         if (self.more or unfinished) and self.read_at - self.first() > LATE_READ:
             self.late_since = self.first()  # what is behind came after it
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -113,7 +113,7 @@
                             break
                     held = window.end - window.start
                     if arrivals.late_since != NEVER:
-                        arrivals.worked_off(unfinished=held > 0)
+                        arrivals.all_processed(unfinished=held > 0)
                     if held or self.held:
                         self.hold(held)
                 except frames.BadFrame as bad:
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -30,7 +30,7 @@
     answer_sender = AnswerSender(1 << 20)
     found = ArrivalTimes(socket.socket(), answer_sender)
     found.read(10_000 * MS, False)
-    found.worked_off(unfinished=False)
+    found.all_processed(unfinished=False)
     answer_sender.tick(12_000 * MS)
     return found, answer_sender, seen
 
@@ -40,7 +40,7 @@
     seen.lay, seen.waited = 300 * MS, 900 * MS
     arrivals.read(12_000 * MS, False)
     assert arrivals.of_request(followed=False) == 11_700 * MS
-    arrivals.worked_off(unfinished=False)
+    arrivals.all_processed(unfinished=False)
     assert not seen.looks
 
 
@@ -49,7 +49,7 @@
     seen.waited = 700 * MS
     arrivals.read(12_000 * MS, False)
     assert arrivals.of_request(followed=True) == 11_300 * MS and arrivals.of_request(followed=False) == 12_000 * MS
-    arrivals.worked_off(unfinished=False)
+    arrivals.all_processed(unfinished=False)
     answer_sender.tick(12_200 * MS)
     arrivals.read(12_400 * MS, False)  # the same wait is not counted again
     assert arrivals.of_request(followed=True) == 12_400 * MS
@@ -60,7 +60,7 @@
     seen.waited = 30_000 * MS
     arrivals.read(12_000 * MS, False)
     assert arrivals.of_request(followed=True) == 10_000 * MS
-    arrivals.worked_off(unfinished=False)
+    arrivals.all_processed(unfinished=False)
     arrivals.read(12_020 * MS, False)
     assert arrivals.of_request(followed=True) == 12_020 * MS
 
@@ -79,13 +79,13 @@
     arrivals, answer_sender, _ = reader
     answer_sender.tick(12_600 * MS)
     arrivals.read(12_610 * MS, True)
-    arrivals.worked_off(unfinished=True)
+    arrivals.all_processed(unfinished=True)
     arrivals.read(12_611 * MS, True)
     assert arrivals.of_request(followed=False) == 12_000 * MS
-    arrivals.worked_off(unfinished=False)
+    arrivals.all_processed(unfinished=False)
     arrivals.read(12_612 * MS, False)
     assert arrivals.of_request(followed=False) == 12_612 * MS
-    arrivals.worked_off(unfinished=False)
+    arrivals.all_processed(unfinished=False)
     arrivals.read(12_613 * MS, False)
     assert arrivals.of_request(followed=True) == 12_613 * MS
 
@@ -96,7 +96,7 @@
         answer_sender.tick((12_000 + n) * MS)
         seen.waited += MS // 10
         arrivals.read((12_000 + n) * MS, False)
-        arrivals.worked_off(unfinished=False)
+        arrivals.all_processed(unfinished=False)
     answer_sender.ticked = arrivals.read_at + 1000 * MS
     arrivals.read(answer_sender.ticked, False)
     assert arrivals.read_at - arrivals.of_request(followed=True) <= READS_BETWEEN_LOOKS * MS // 10
