--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -88,7 +88,7 @@
         try:
             while size := self.sock.recv_into(window.view if self.failed or self.client_writer.shut_at else window.room()):
                 if self.failed or self.client_writer.shut_at:  # only to see its end, or what it was told might be lost in a reset
-                    self.client_writer.worked_off += size
+                    self.client_writer.processed_bytes += size
                     after += size
                     if after > MOST_AFTER and not self.client_writer.streams:
                         break
@@ -119,7 +119,7 @@
                 except frames.BadFrame as bad:
                     self.fail(str(bad))
                 finally:
-                    self.client_writer.worked_off += size
+                    self.client_writer.processed_bytes += size
                     # What lies behind may take back what was just read; guards against an attempt begun for what is cancelled
                     # already. A few reads, for others wait meanwhile.
                     behind = behind + 1 if found and taken and behind < MOST_BEHIND and not self.failed else 0
@@ -194,7 +194,7 @@
         """Whether its reader has read bytes that it has not worked off, as far as the system tells: a request among them is owed its
         answer, and would not be taken once this side is shut."""
         with self.client_writer.lock:
-            return not self.client_writer.ended and (bytes_received(self.sock) or 0) > self.client_writer.worked_off
+            return not self.client_writer.ended and (bytes_received(self.sock) or 0) > self.client_writer.processed_bytes
 
     def overdue(self, now: float) -> CloseReason | None:
         """Why it is to be closed now, if it is."""
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -52,7 +52,7 @@
         self.late: list[LateAnswer] = []  # answers past their time limit that do so
         self.sent = 0  # bytes that the client had sent as of the last look that found some unread
         self.asked = False  # somebody looks, or waits: set before each look, so that the reader of what it found sees it
-        self.worked_off = 0  # bytes, by its reader
+        self.processed_bytes = 0  # bytes, by its reader
         self.looks = receive_poll(sock)  # for `found` alone, under the lock
 
     def found(self, in_hand: bool = False) -> str:
@@ -63,7 +63,7 @@
         self.asked = True
         found = [] if self.ended else self.looks.poll(0)
         what = LEFT if self.ended or found and found[0][1] & PEER_CLOSED else UNREAD if found else ""
-        if in_hand and not what and (bytes_received(self.sock) or 0) > self.worked_off:
+        if in_hand and not what and (bytes_received(self.sock) or 0) > self.processed_bytes:
             what = UNREAD
         if what == UNREAD:
             self.sent = bytes_received(self.sock) or 0
@@ -87,7 +87,7 @@
         """Called by the reader, after each time that it has worked off what it had read. Guards against a reader that has written an
         attempt itself: what lay in the socket when that was put by has come since its read, and it has not read on."""
         with self.lock:
-            read = NEVER if self.ended else self.worked_off
+            read = NEVER if self.ended else self.processed_bytes
             hops = [hop for hop in self.hops if hop.behind <= read]
             late = [answer for answer in self.late if answer.behind <= read]
             self.hops = [hop for hop in self.hops if hop.behind > read]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -139,7 +139,7 @@
     assert not hop.written and not send.route.posted and lane.open
     client_writer.read_off()
     assert client_writer.hops == [hop]  # its reader has worked off something, but not read on
-    client_writer.worked_off += len(here.recv(100))  # its reader has its turn
+    client_writer.processed_bytes += len(here.recv(100))  # its reader has its turn
     send.open_txns.withdraw(5)
     client_writer.read_off()
     assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not cache.wants and not client_writer.hops
@@ -160,10 +160,10 @@
     until(lambda: cache.wants)
     assert other.written and not hop.written
     there.sendall(b"and on")
-    client_writer.worked_off += len(here.recv(4))
+    client_writer.processed_bytes += len(here.recv(4))
     client_writer.read_off()
     assert not hop.written
-    client_writer.worked_off += len(here.recv(9))  # all that lay there at the look; the rest came since
+    client_writer.processed_bytes += len(here.recv(9))  # all that lay there at the look; the rest came since
     client_writer.read_off()
     until(lambda: len(cache.wants) == 2)
     assert hop.written
@@ -241,7 +241,7 @@
         here.recv(100)
     answer_sender.answer(txn, Answer("completed", body=memoryview(b"x" * 70_000)))
     assert not select.select([there], [], [], 0)[0] and answer_sender.held > 70_000 and client_writer.streams
-    client_writer.worked_off += 9  # its reader has its turn
+    client_writer.processed_bytes += 9  # its reader has its turn
     if lies == "unread":
         here.recv(100)
     if unread == "its cancel":
