--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -92,7 +92,7 @@
                     after += size
                     if after > MOST_AFTER and not self.client_writer.streams:
                         break
-                    self.client_writer.read_off()
+                    self.client_writer.release_waiting()
                     continue
                 if (found := looks(0)) and found[0][1] & PEER_CLOSED:
                     break  # nobody waits for what it sent; guards against attempts begun for thousands that send and go
@@ -127,7 +127,7 @@
                         taken = False
                         self.client_listener.route.handle()
                         if self.client_writer.asked:
-                            self.client_writer.read_off()
+                            self.client_writer.release_waiting()
         except OSError:
             pass  # reset: as if it had closed
         except Exception:
@@ -135,7 +135,7 @@
         self.hold(0)
         self.client_listener.ended(self)
         self.client_listener.route.handle()
-        self.client_writer.read_off()
+        self.client_writer.release_waiting()
 
     def free(self) -> None:
         self.client_writer.freed = None  # else each holds the other until the collector looks, which is rare
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -83,7 +83,7 @@
                 self.hops.append(hop)
             return what
 
-    def read_off(self) -> None:
+    def release_waiting(self) -> None:
         """Called by the reader, after each time that it has worked off what it had read. Guards against a reader that has written an
         attempt itself: what lay in the socket when that was put by has come since its read, and it has not read on."""
         with self.lock:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -137,11 +137,11 @@
     until(lambda: lane.ready)
     lane.pump()
     assert not hop.written and not send.route.posted and lane.open
-    client_writer.read_off()
+    client_writer.release_waiting()
     assert client_writer.hops == [hop]  # its reader has worked off something, but not read on
     client_writer.processed_bytes += len(here.recv(100))  # its reader has its turn
     send.open_txns.withdraw(5)
-    client_writer.read_off()
+    client_writer.release_waiting()
     assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not cache.wants and not client_writer.hops
     here.close(), there.close()
 
@@ -161,10 +161,10 @@
     assert other.written and not hop.written
     there.sendall(b"and on")
     client_writer.processed_bytes += len(here.recv(4))
-    client_writer.read_off()
+    client_writer.release_waiting()
     assert not hop.written
     client_writer.processed_bytes += len(here.recv(9))  # all that lay there at the look; the rest came since
-    client_writer.read_off()
+    client_writer.release_waiting()
     until(lambda: len(cache.wants) == 2)
     assert hop.written
     here.close(), there.close()
@@ -246,7 +246,7 @@
         here.recv(100)
     if unread == "its cancel":
         del client_writer.streams[1]
-    client_writer.read_off()
+    client_writer.release_waiting()
     assert bool(select.select([there], [], [], 0)[0]) == (unread != "its cancel")
     assert not answer_sender.held and not client_writer.streams and not client_writer.late
     here.close(), there.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -101,7 +101,7 @@
     time.sleep(0.4)
     assert client_writer.hops == [other]
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
-    client_writer.read_off()
+    client_writer.release_waiting()
     until(lambda: len(cache.wants) == 2)
     assert all(2300 <= int(want["limit"]) <= 3000 - 400 + 150 for want in cache.wants)
 
@@ -163,12 +163,12 @@
     client_writer.there.sendall(b"cancel")
     until(lambda: len(client_writer.sock.recv(100, socket.MSG_PEEK)) == 13)
     client_writer.processed_bytes += len(client_writer.sock.recv(7))
-    client_writer.read_off()
+    client_writer.release_waiting()
     assert client_writer.hops == [attempt] and not attempt.written
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
     send.open_txns.by_id.pop(6)
     send.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
-    client_writer.read_off()
+    client_writer.release_waiting()
     assert not attempt.written and not cache.wants and lane.ready
 
 
