--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -48,7 +48,7 @@
         self.ended = False
         self.freed = None  # called, without the lock, once its descriptor is free
         self.idle_since = time.monotonic()
-        self.hops: list = []  # that wait until its reader has worked off what lies in the socket
+        self.waiting_hops: list = []  # that wait until its reader has worked off what lies in the socket
         self.late: list[LateAnswer] = []  # answers past their time limit that do so
         self.sent = 0  # bytes that the client had sent as of the last look that found some unread
         self.asked = False  # somebody looks, or waits: set before each look, so that the reader of what it found sees it
@@ -67,7 +67,7 @@
             what = UNREAD
         if what == UNREAD:
             self.sent = bytes_received(self.sock) or 0
-        self.asked = what == UNREAD or bool(self.hops or self.late)
+        self.asked = what == UNREAD or bool(self.waiting_hops or self.late)
         return what
 
     def check_client(self, hop) -> str:
@@ -80,7 +80,7 @@
                 if hop.waited and now - hop.waited <= READER_TURN:
                     return ""
                 hop.waited, hop.behind = now, self.sent
-                self.hops.append(hop)
+                self.waiting_hops.append(hop)
             return what
 
     def release_waiting(self) -> None:
@@ -88,11 +88,11 @@
         attempt itself: what lay in the socket when that was put by has come since its read, and it has not read on."""
         with self.lock:
             read = NEVER if self.ended else self.processed_bytes
-            hops = [hop for hop in self.hops if hop.behind <= read]
+            hops = [hop for hop in self.waiting_hops if hop.behind <= read]
             late = [answer for answer in self.late if answer.behind <= read]
-            self.hops = [hop for hop in self.hops if hop.behind > read]
+            self.waiting_hops = [hop for hop in self.waiting_hops if hop.behind > read]
             self.late = [answer for answer in self.late if answer.behind > read]
-            self.asked = bool(self.hops or self.late)
+            self.asked = bool(self.waiting_hops or self.late)
             for answer in late:
                 self.answer_sender.hold(-sum(map(len, answer.data)))
                 if self.streams.pop(answer.stream, None) is not None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -138,11 +138,11 @@
     lane.pump()
     assert not hop.written and not send.route.posted and lane.open
     client_writer.release_waiting()
-    assert client_writer.hops == [hop]  # its reader has worked off something, but not read on
+    assert client_writer.waiting_hops == [hop]  # its reader has worked off something, but not read on
     client_writer.processed_bytes += len(here.recv(100))  # its reader has its turn
     send.open_txns.withdraw(5)
     client_writer.release_waiting()
-    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not cache.wants and not client_writer.hops
+    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not cache.wants and not client_writer.waiting_hops
     here.close(), there.close()
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -99,7 +99,7 @@
     until(lambda: receive_poll(client_writer.sock).poll(0))
     send.hop(other).pump()  # it waits for its client's reader
     time.sleep(0.4)
-    assert client_writer.hops == [other]
+    assert client_writer.waiting_hops == [other]
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
     client_writer.release_waiting()
     until(lambda: len(cache.wants) == 2)
@@ -158,13 +158,13 @@
     until(lambda: receive_poll(client_writer.sock).poll(0))
     lane = send.hop(attempt)
     lane.pump()
-    until(lambda: client_writer.hops == [attempt])
+    until(lambda: client_writer.waiting_hops == [attempt])
     time.sleep(0.15)  # its reader works for others meanwhile
     client_writer.there.sendall(b"cancel")
     until(lambda: len(client_writer.sock.recv(100, socket.MSG_PEEK)) == 13)
     client_writer.processed_bytes += len(client_writer.sock.recv(7))
     client_writer.release_waiting()
-    assert client_writer.hops == [attempt] and not attempt.written
+    assert client_writer.waiting_hops == [attempt] and not attempt.written
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
     send.open_txns.by_id.pop(6)
     send.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
