--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -49,7 +49,7 @@
         self.freed = None  # called, without the lock, once its descriptor is free
         self.idle_since = time.monotonic()
         self.waiting_hops: list = []  # that wait until its reader has worked off what lies in the socket
-        self.late: list[LateAnswer] = []  # answers past their time limit that do so
+        self.late_answers: list[LateAnswer] = []  # answers past their time limit that do so
         self.sent = 0  # bytes that the client had sent as of the last look that found some unread
         self.asked = False  # somebody looks, or waits: set before each look, so that the reader of what it found sees it
         self.processed_bytes = 0  # bytes, by its reader
@@ -67,7 +67,7 @@
             what = UNREAD
         if what == UNREAD:
             self.sent = bytes_received(self.sock) or 0
-        self.asked = what == UNREAD or bool(self.waiting_hops or self.late)
+        self.asked = what == UNREAD or bool(self.waiting_hops or self.late_answers)
         return what
 
     def check_client(self, hop) -> str:
@@ -89,10 +89,10 @@
         with self.lock:
             read = NEVER if self.ended else self.processed_bytes
             hops = [hop for hop in self.waiting_hops if hop.behind <= read]
-            late = [answer for answer in self.late if answer.behind <= read]
+            late = [answer for answer in self.late_answers if answer.behind <= read]
             self.waiting_hops = [hop for hop in self.waiting_hops if hop.behind > read]
-            self.late = [answer for answer in self.late if answer.behind > read]
-            self.asked = bool(self.waiting_hops or self.late)
+            self.late_answers = [answer for answer in self.late_answers if answer.behind > read]
+            self.asked = bool(self.waiting_hops or self.late_answers)
             for answer in late:
                 self.answer_sender.hold(-sum(map(len, answer.data)))
                 if self.streams.pop(answer.stream, None) is not None:
@@ -113,7 +113,7 @@
                 if found == UNREAD:
                     data = tuple(map(bytes, data))  # it lay in the server's connection
                     self.answer_sender.hold(sum(map(len, data)))
-                    self.late.append(LateAnswer(stream, data, self.sent))
+                    self.late_answers.append(LateAnswer(stream, data, self.sent))
                 return False
             if self.streams.pop(stream, None) is None:
                 return False
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -248,7 +248,7 @@
         del client_writer.streams[1]
     client_writer.release_waiting()
     assert bool(select.select([there], [], [], 0)[0]) == (unread != "its cancel")
-    assert not answer_sender.held and not client_writer.streams and not client_writer.late
+    assert not answer_sender.held and not client_writer.streams and not client_writer.late_answers
     here.close(), there.close()
 
 
