--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -355,7 +355,7 @@
             self.room.notify()
 
     def ended(self, client: ClientConnection) -> None:
-        client.client_writer.end()
+        client.client_writer.reader_ended()
         for ident in list(client.client_writer.streams.values()):
             self.withdraw(ident, left=True)
 
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -227,7 +227,7 @@
         with self.lock:
             self.cut()
 
-    def end(self) -> None:
+    def reader_ended(self) -> None:
         """Called by the reader, last."""
         with self.lock:
             self.ended = True
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -449,7 +449,7 @@
         def __exit__(self, *about):
             self.real.release()
             if not client_writer.writing and not client_writer.ended:
-                client_writer.end()
+                client_writer.reader_ended()
 
     client_writer.waiting.append(b"x")
     client_writer.writing, client_writer.lock = True, Lock()
