--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -96,7 +96,7 @@
             for answer in late:
                 self.answer_sender.hold(-sum(map(len, answer.data)))
                 if self.streams.pop(answer.stream, None) is not None:
-                    self.put(answer.data)
+                    self.write_or_queue(answer.data)
         for hop in hops:
             hop.lane.again(hop)
 
@@ -118,7 +118,7 @@
             if self.streams.pop(stream, None) is None:
                 return False
             if cork is None or len(data) > 1:
-                self.put(data)
+                self.write_or_queue(data)
             else:
                 if not self.corked:
                     cork.append(self)
@@ -128,13 +128,13 @@
     def uncork(self) -> None:
         with self.lock:
             data, self.corked = self.corked, []
-            self.put((b"".join(data),))
+            self.write_or_queue((b"".join(data),))
 
     def write(self, data: tuple) -> None:
         with self.lock:
-            self.put(data)
+            self.write_or_queue(data)
 
-    def put(self, data: tuple) -> None:
+    def write_or_queue(self, data: tuple) -> None:
         """What the socket takes at once, and the rest, copied, by a thread; the lock is held."""
         self.idle_since = time.monotonic()
         if self.ended:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -44,8 +44,8 @@
     ],
 }
 SABOTAGE = {
-    1: "from fieldspur.net.client_writer import ClientWriter\nput = ClientWriter.put\n"
-    "ClientWriter.put = lambda self, data: (put(self, data), data[0][4:5] == b'B' and put(self, data))\n",
+    1: "from fieldspur.net.client_writer import ClientWriter\nput = ClientWriter.write_or_queue\n"
+    "ClientWriter.write_or_queue = lambda self, data: (put(self, data), data[0][4:5] == b'B' and put(self, data))\n",
     2: "from fieldspur.decide import Router\nRouter.may_send = lambda *about: True\n",
     3: "from fieldspur.net.router_host import RouterHost\nfrom fieldspur.record import replace\nold = RouterHost.list_told\n"
     "RouterHost.list_told = lambda self, change, now=False: old(self, replace(change, servers=tuple(\n"
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -475,8 +475,8 @@
 
 PLANTS = {
     "": "",
-    "copies_to_a_quick_client": "from fieldspur.net.client_writer import ClientWriter\nput = ClientWriter.put\n"
-    "ClientWriter.put = lambda self, data: put(self, (b''.join(data),))\n",
+    "copies_to_a_quick_client": "from fieldspur.net.client_writer import ClientWriter\nput = ClientWriter.write_or_queue\n"
+    "ClientWriter.write_or_queue = lambda self, data: put(self, (b''.join(data),))\n",
     "threads": "import queue, threading\nfrom fieldspur.net.router_host import RouterHost\npost, line = RouterHost.post, queue.Queue()\n"
     "RouterHost.post = lambda self, *about: line.put((self, about))\n"
     "def run():\n    while True:\n        self, about = line.get()\n        post(self, *about)\n"
