--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -156,7 +156,7 @@
                     "lag_ms": lag // MS,
                     "pause_ms": int(pause * 1000),
                     "board_ms": int(waited * 1000),
-                    "held": self.answer_sender.held,
+                    "held": self.answer_sender.held_bytes,
                     "too_much": self.answer_sender.too_much,
                     "cpu": time.process_time(),
                     "system": os.times().system,
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -104,7 +104,7 @@
         """False where the client has withdrawn: taking the stream out is what gives the right to use it. With `cork` a
         short answer waits for `uncork`, for which the outlet is put there. A `late` one, past its time limit or right after a stop,
         guards against a process that had no core and answers a client whose withdrawal lies unread: its reader goes first."""
-        if len(answer.body) + self.answer_sender.held > self.answer_sender.most_held:
+        if len(answer.body) + self.answer_sender.held_bytes > self.answer_sender.most_held:
             self.answer_sender.too_much += 1  # clients that do not read hold all memory for answers
             answer = Answer("aborted")
         data = self.encode(stream, answer)  # buffers; a long body as it lies in the server's connection
@@ -244,7 +244,7 @@
 
     def __init__(self, most_held: int):
         self.lock = threading.Lock()
-        self.held, self.most_held, self.too_much = 0, most_held, 0
+        self.held_bytes, self.most_held, self.too_much = 0, most_held, 0
         self.ticked, self.careful_until = NEVER, 0  # the last tick; until when answers look first
         self.stall_began = 0  # the last tick before the latest one that came late
         # Answers not yet handed to their connection, by txn and hop (one thread each): added before the txn is taken out
@@ -266,10 +266,10 @@
 
     def hold(self, size: int) -> None:
         with self.lock:
-            self.held += size
+            self.held_bytes += size
 
     def done(self) -> bool:
-        return not self.held and not self.owing
+        return not self.held_bytes and not self.owing
 
     def answer(self, txn: Txn, answer: Answer, cork: list | None = None) -> None:
         """Hand a request's answer to its connection. An unforeseen error in that costs the connection."""
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -240,7 +240,7 @@
     if lies == "in its reader's hand":
         here.recv(100)
     answer_sender.answer(txn, Answer("completed", body=memoryview(b"x" * 70_000)))
-    assert not select.select([there], [], [], 0)[0] and answer_sender.held > 70_000 and client_writer.streams
+    assert not select.select([there], [], [], 0)[0] and answer_sender.held_bytes > 70_000 and client_writer.streams
     client_writer.processed_bytes += 9  # its reader has its turn
     if lies == "unread":
         here.recv(100)
@@ -248,7 +248,7 @@
         del client_writer.streams[1]
     client_writer.release_waiting()
     assert bool(select.select([there], [], [], 0)[0]) == (unread != "its cancel")
-    assert not answer_sender.held and not client_writer.streams and not client_writer.late_answers
+    assert not answer_sender.held_bytes and not client_writer.streams and not client_writer.late_answers
     here.close(), there.close()
 
 
