--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -54,7 +54,7 @@
     def __init__(self, node: Node, wishes: Operators = Operators()):
         site, self.node, self.wishes = node.site, node, wishes
         share = wishes.memory
-        self.answer_sender = AnswerSender(most_held=int(node.memory * share.answers))
+        self.answer_sender = AnswerSender(max_held_bytes=int(node.memory * share.answers))
         self.open_txns = OpenTxns()
         # Descriptors: half for clients, who hold a third at most, a quarter for servers, the rest in reserve. A
         # connection to a server takes up to 0.6 MB, as measured: together they get under a third of the memory.
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -585,7 +585,7 @@
 
 def test_answers_that_no_memory_is_left_for_fail_and_say_so():
     here, there = socket.socketpair()
-    answer_sender = AnswerSender(most_held=1000)
+    answer_sender = AnswerSender(max_held_bytes=1000)
     client_writer = ClientWriter(here, encode, answer_sender)
     client_writer.streams[1] = 5
     assert client_writer.answer(1, Answer("completed", body=b"x" * 2000))
