--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -268,7 +268,7 @@
         with self.lock:
             self.held_bytes += size
 
-    def done(self) -> bool:
+    def all_delivered(self) -> bool:
         return not self.held_bytes and not self.owing
 
     def answer(self, txn: Txn, answer: Answer, cork: list | None = None) -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -254,7 +254,7 @@
     seen, put = [], ClientWriter.uncork
 
     def look(self):
-        seen.append((len(self.corked), self.shut_if_idle(), send.answer_sender.done()))
+        seen.append((len(self.corked), self.shut_if_idle(), send.answer_sender.all_delivered()))
         put(self)
 
     ClientWriter.uncork, decoder = look, resp.Decoder()
@@ -264,7 +264,7 @@
         lane.replies(decoder, len(data))
     finally:
         ClientWriter.uncork = put
-    assert seen == [(3, False, False)] * 2 and send.answer_sender.done() and len(send.route.posted) == 6
+    assert seen == [(3, False, False)] * 2 and send.answer_sender.all_delivered() and len(send.route.posted) == 6
     for n, (_, there) in enumerate(pairs):
         there.setblocking(False)
         assert there.recv(4000) == b"".join(
@@ -423,7 +423,7 @@
     double = [ident for ident, words in answered.items() if len(words) != 1]
     both = [ident for ident in answered if ident in withdrawn]
     none = [ident for ident in range(1, count_of + 1) if ident not in answered and ident not in withdrawn]
-    assert not double and not both and not none and not open_txns.by_id and answer_sender.done() and not holding.broken
+    assert not double and not both and not none and not open_txns.by_id and answer_sender.all_delivered() and not holding.broken
 
 
 def test_an_error_in_the_router_costs_its_event_alone_whatever_its_kind_and_thread(monkeypatch):
@@ -451,7 +451,7 @@
     route.open_txns.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, client_writer, 1))
     route.post(route.arrived, route.open_txns.by_id[1])  # no server is listed
     there.setblocking(False)
-    assert there.recv(100)[9] == frames.REFUSED and route.answer_sender.done()
+    assert there.recv(100)[9] == frames.REFUSED and route.answer_sender.all_delivered()
 
 
 def test_an_earlier_timer_wakes_the_timers_thread_and_cancelled_ones_do_not():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -598,11 +598,11 @@
     answer_sender, open_txns, seen = AnswerSender(1 << 20), OpenTxns(), []
     send = ConnectionPool(deployment(settings()), open_txns, answer_sender, 4)
     send.route = Events()
-    client_writer = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.done(), dict(open_txns.by_id))))
+    client_writer = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.all_delivered(), dict(open_txns.by_id))))
     open_txns.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, client_writer, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
     send.answered(hop, resp.reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
-    assert seen == [(False, {})] and answer_sender.done()
+    assert seen == [(False, {})] and answer_sender.all_delivered()
 
 
 def test_a_withdrawn_txn_is_not_answered_and_the_book_gives_each_away_once():
