--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -249,7 +249,7 @@
         self.stall_began = 0  # the last tick before the latest one that came late
         # Answers not yet handed to their connection, by txn and hop (one thread each): added before the txn is taken out
         # of the book, discarded once the answer is on its way.
-        self.owing: set[tuple[int, int]] = set()
+        self.undelivered: set[tuple[int, int]] = set()
 
     def tick(self, now: int) -> None:
         """Called every `TICK`. One that comes late tells that the process was stopped, or had no core: which of its threads goes on
@@ -269,7 +269,7 @@
             self.held_bytes += size
 
     def all_delivered(self) -> bool:
-        return not self.held_bytes and not self.owing
+        return not self.held_bytes and not self.undelivered
 
     def answer(self, txn: Txn, answer: Answer, cork: list | None = None) -> None:
         """Hand a request's answer to its connection. An unforeseen error in that costs the connection."""
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -214,10 +214,10 @@
                 return self.report(hop, "error")
             answer = Answer("completed", 0, unchanged, reply.body)
             owed = hop.ident, hop.number
-            self.answer_sender.owing.add(owed)
+            self.answer_sender.undelivered.add(owed)
             txn = self.open_txns.settle(hop.ident, answer)
             if txn is not None:
                 self.answer_sender.answer(txn, answer, cork)
-            self.answer_sender.owing.discard(owed)
+            self.answer_sender.undelivered.discard(owed)
         reply.body = b""  # it lay in the connection's buffer
         self.report(hop, reply.result, reply, at)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -127,7 +127,7 @@
                         lane.pump()
                     else:
                         self.answer_sender.answer(txn, answer)
-                        self.answer_sender.owing.discard((txn.ident, BY_ROUTER))
+                        self.answer_sender.undelivered.discard((txn.ident, BY_ROUTER))
                 if not queue:
                     return True
                 most -= 1
@@ -464,7 +464,7 @@
         self.answer(ident, Answer("aborted"))
 
     def answer(self, ident: int, answer: Answer) -> None:
-        self.answer_sender.owing.add((ident, BY_ROUTER))
+        self.answer_sender.undelivered.add((ident, BY_ROUTER))
         txn = self.open_txns.settle(ident, answer)
         if txn is not None:
             if log.isEnabledFor(logging.DEBUG):
@@ -476,7 +476,7 @@
                 )
             self.outbox.append((None, txn, answer))
         else:
-            self.answer_sender.owing.discard((ident, BY_ROUTER))
+            self.answer_sender.undelivered.discard((ident, BY_ROUTER))
 
     def wake(self, label, at) -> None:
         self.wakes[label] = at
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -469,14 +469,14 @@
                 if hop is None:
                     continue  # given up, and crossed
                 if cork or window.end > window.start:  # else it is the only one
-                    send.answer_sender.owing.add((0, id(self)))
+                    send.answer_sender.undelivered.add((0, id(self)))
                     send.answered(hop, reply, now, cork)
                 else:
                     send.answered(hop, reply, now)
         finally:
             for client_writer in cork:
                 client_writer.uncork()
-            send.answer_sender.owing.discard((0, id(self)))
+            send.answer_sender.undelivered.discard((0, id(self)))
             send.route.handle()
 
     def shut(self) -> None:
