--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -157,7 +157,7 @@
                     "pause_ms": int(pause * 1000),
                     "board_ms": int(waited * 1000),
                     "held": self.answer_sender.held_bytes,
-                    "too_much": self.answer_sender.too_much,
+                    "too_much": self.answer_sender.memory_refusals,
                     "cpu": time.process_time(),
                     "system": os.times().system,
                     "peak_mb": logs.peak_memory_mb(),
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -105,7 +105,7 @@
         short answer waits for `uncork`, for which the outlet is put there. A `late` one, past its time limit or right after a stop,
         guards against a process that had no core and answers a client whose withdrawal lies unread: its reader goes first."""
         if len(answer.body) + self.answer_sender.held_bytes > self.answer_sender.max_held_bytes:
-            self.answer_sender.too_much += 1  # clients that do not read hold all memory for answers
+            self.answer_sender.memory_refusals += 1  # clients that do not read hold all memory for answers
             answer = Answer("aborted")
         data = self.encode(stream, answer)  # buffers; a long body as it lies in the server's connection
         with self.lock:  # both at once, or the connection might be closed in between as one that owes nothing
@@ -244,7 +244,7 @@
 
     def __init__(self, max_held_bytes: int):
         self.lock = threading.Lock()
-        self.held_bytes, self.max_held_bytes, self.too_much = 0, max_held_bytes, 0
+        self.held_bytes, self.max_held_bytes, self.memory_refusals = 0, max_held_bytes, 0
         self.ticked, self.careful_until = NEVER, 0  # the last tick; until when answers look first
         self.stall_began = 0  # the last tick before the latest one that came late
         # Answers not yet handed to their connection, by txn and hop (one thread each): added before the txn is taken out
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -589,7 +589,7 @@
     client_writer = ClientWriter(here, encode, answer_sender)
     client_writer.streams[1] = 5
     assert client_writer.answer(1, Answer("completed", body=b"x" * 2000))
-    assert there.recv(100) == b"".join(encode(1, Answer("aborted"))) and answer_sender.too_much == 1
+    assert there.recv(100) == b"".join(encode(1, Answer("aborted"))) and answer_sender.memory_refusals == 1
     assert not client_writer.answer(1, Answer("aborted"))
 
 
