--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -20,7 +20,7 @@
 READER_TURN = 50 * MS
 TICK = 200 * MS
 TICK_LATE, CAREFUL = TICK + 50 * MS, 100 * MS
-LEFT, UNREAD = "left", "unread"  # what a look at a client's socket finds
+CLIENT_LEFT, UNREAD = "left", "unread"  # what a look at a client's socket finds
 
 
 @record(eq=False)
@@ -56,13 +56,13 @@
         self.looks = receive_poll(sock)  # for `found` alone, under the lock
 
     def found(self, in_hand: bool = False) -> str:
-        """What lies in the socket that its reader may not have come to: LEFT, a close or reset, also behind other bytes; UNREAD,
+        """What lies in the socket that its reader may not have come to: CLIENT_LEFT, a close or reset, also behind other bytes; UNREAD,
         bytes, with `in_hand` also such that the reader has read and not worked off, for it waits for its turn; else nothing. The
         lock is held until who looks has put by what is to wait for the reader: it works off those bytes later, and then finds
         `asked` set, and takes the lock."""
         self.asked = True
         found = [] if self.ended else self.looks.poll(0)
-        what = LEFT if self.ended or found and found[0][1] & PEER_CLOSED else UNREAD if found else ""
+        what = CLIENT_LEFT if self.ended or found and found[0][1] & PEER_CLOSED else UNREAD if found else ""
         if in_hand and not what and (bytes_received(self.sock) or 0) > self.processed_bytes:
             what = UNREAD
         if what == UNREAD:
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -8,7 +8,7 @@
 
 from fieldspur.decide import LANES
 from fieldspur.net import resp
-from fieldspur.net.client_writer import LEFT, UNREAD, AnswerSender
+from fieldspur.net.client_writer import CLIENT_LEFT, UNREAD, AnswerSender
 from fieldspur.net.invariants import check_invariant
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
@@ -144,7 +144,7 @@
             if txn is not None and now - txn.taken > LOOK_CLIENT:
                 if (found := txn.client_writer.check_client(hop)) is UNREAD:
                     return False
-                if found is LEFT:
+                if found is CLIENT_LEFT:
                     if self.open_txns.withdraw(txn.ident, left=True):  # else its reader did so just now
                         self.route.post(self.route.withdrawn, txn.ident)
                     txn = None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -30,7 +30,7 @@
 from fieldspur.decide import MS, SECOND
 from fieldspur.net import resp
 from fieldspur.net.client_listener import ClientListener, encode
-from fieldspur.net.client_writer import LEFT, UNREAD, AnswerSender, ClientWriter
+from fieldspur.net.client_writer import CLIENT_LEFT, UNREAD, AnswerSender, ClientWriter
 from fieldspur.net.connection_pool import LOOK_CLIENT
 from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
@@ -464,7 +464,7 @@
     send = sender(cache.address, open_txns=OpenTxns())
     client_writer = stays(send)
     hop = taken(send, client_writer, before_ms=50)
-    monkeypatch.setattr(client_writer, "check_client", lambda hop: (send.open_txns.withdraw(5, left=True), LEFT)[1])
+    monkeypatch.setattr(client_writer, "check_client", lambda hop: (send.open_txns.withdraw(5, left=True), CLIENT_LEFT)[1])
     lane = send.hop(hop)
     until(lambda: lane.ready)
     lane.pump()
