--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -20,7 +20,7 @@
 READER_TURN = 50 * MS
 TICK = 200 * MS
 TICK_LATE, CAREFUL = TICK + 50 * MS, 100 * MS
-CLIENT_LEFT, UNREAD = "left", "unread"  # what a look at a client's socket finds
+CLIENT_LEFT, UNREAD_BYTES = "left", "unread"  # what a look at a client's socket finds
 
 
 @record(eq=False)
@@ -56,26 +56,28 @@
         self.looks = receive_poll(sock)  # for `found` alone, under the lock
 
     def found(self, in_hand: bool = False) -> str:
-        """What lies in the socket that its reader may not have come to: CLIENT_LEFT, a close or reset, also behind other bytes; UNREAD,
+        """What lies in the socket that its reader may not have come to: CLIENT_LEFT, a close or reset, also behind other bytes;
+        UNREAD_BYTES,
         bytes, with `in_hand` also such that the reader has read and not worked off, for it waits for its turn; else nothing. The
         lock is held until who looks has put by what is to wait for the reader: it works off those bytes later, and then finds
         `asked` set, and takes the lock."""
         self.asked = True
         found = [] if self.ended else self.looks.poll(0)
-        what = CLIENT_LEFT if self.ended or found and found[0][1] & PEER_CLOSED else UNREAD if found else ""
+        what = CLIENT_LEFT if self.ended or found and found[0][1] & PEER_CLOSED else UNREAD_BYTES if found else ""
         if in_hand and not what and (bytes_received(self.sock) or 0) > self.processed_bytes:
-            what = UNREAD
-        if what == UNREAD:
+            what = UNREAD_BYTES
+        if what == UNREAD_BYTES:
             self.sent = bytes_received(self.sock) or 0
-        self.asked = what == UNREAD or bool(self.waiting_hops or self.late_answers)
+        self.asked = what == UNREAD_BYTES or bool(self.waiting_hops or self.late_answers)
         return what
 
     def check_client(self, hop) -> str:
-        """As `found`; with UNREAD the hop waits here until the reader has worked off what lies there. What came after that, in a turn as
+        """As `found`; with UNREAD_BYTES the hop waits here until the reader has worked off what lies there. What came after
+        that, in a turn as
         short as they are, is let be, for some clients send on and on; after a longer one it may hold a cancel that came long ago."""
         with self.lock:  # whoever ends it gives its descriptor away, too
             what = self.found()
-            if what == UNREAD:
+            if what == UNREAD_BYTES:
                 now = time.monotonic_ns()
                 if hop.waited and now - hop.waited <= READER_TURN:
                     return ""
@@ -110,7 +112,7 @@
         data = self.encode(stream, answer)  # buffers; a long body as it lies in the server's connection
         with self.lock:  # both at once, or the connection might be closed in between as one that owes nothing
             if late and (found := self.found(in_hand=True)):
-                if found == UNREAD:
+                if found == UNREAD_BYTES:
                     data = tuple(map(bytes, data))  # it lay in the server's connection
                     self.answer_sender.hold(sum(map(len, data)))
                     self.late_answers.append(LateAnswer(stream, data, self.sent))
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -8,7 +8,7 @@
 
 from fieldspur.decide import LANES
 from fieldspur.net import resp
-from fieldspur.net.client_writer import CLIENT_LEFT, UNREAD, AnswerSender
+from fieldspur.net.client_writer import CLIENT_LEFT, UNREAD_BYTES, AnswerSender
 from fieldspur.net.invariants import check_invariant
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
@@ -142,7 +142,7 @@
         if hop.want is not None:
             txn = self.open_txns.by_id.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
             if txn is not None and now - txn.taken > LOOK_CLIENT:
-                if (found := txn.client_writer.check_client(hop)) is UNREAD:
+                if (found := txn.client_writer.check_client(hop)) is UNREAD_BYTES:
                     return False
                 if found is CLIENT_LEFT:
                     if self.open_txns.withdraw(txn.ident, left=True):  # else its reader did so just now
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -30,7 +30,7 @@
 from fieldspur.decide import MS, SECOND
 from fieldspur.net import resp
 from fieldspur.net.client_listener import ClientListener, encode
-from fieldspur.net.client_writer import CLIENT_LEFT, UNREAD, AnswerSender, ClientWriter
+from fieldspur.net.client_writer import CLIENT_LEFT, UNREAD_BYTES, AnswerSender, ClientWriter
 from fieldspur.net.connection_pool import LOOK_CLIENT
 from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
@@ -221,7 +221,7 @@
 
     monkeypatch.setattr(client.client_writer, "looks", Found())
     hop = SimpleNamespace(waited=False, lane=SimpleNamespace(again=again.append))
-    assert client.client_writer.check_client(hop) == UNREAD
+    assert client.client_writer.check_client(hop) == UNREAD_BYTES
     until(lambda: again == [hop], limit=2)
     client_listener.listener.close()
 
