--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -81,6 +81,6 @@
             self.refused.add(refusal)
             client_writer.answer(request.stream, Answer("rejected", self.come_back_ms))
             return True
-        self.open_txns.take(txn)
+        self.open_txns.add(txn)
         self.route.post(self.route.arrived, txn)
         return True
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -56,7 +56,7 @@
             self.counts[what] += 1
             self.bytes += size
 
-    def take(self, txn: Txn) -> None:
+    def add(self, txn: Txn) -> None:
         if txn.ident in self.by_id:
             check_invariant(False, "a new number for each txn", txn=txn.ident)
         self.by_id[txn.ident] = txn
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -67,7 +67,7 @@
         stream,
         1,
     )
-    send.open_txns.take(txn)
+    send.open_txns.add(txn)
     assert client_writer.open_stream(stream, ident)
     want = resp.Want(txn.name, rule, txn.obj, 0, 3000, None, None, 0, 0, False, False, True, None, b"")
     return Hop(ident, 0, txn.name, "c0", None, want, now)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -248,7 +248,7 @@
     for n in range(6):
         name = f"{n + 1:016x}"
         client_writers[n % 2].open_stream(n + 1, n + 1)
-        send.open_txns.take(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, client_writers[n % 2], n + 1))
+        send.open_txns.add(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, client_writers[n % 2], n + 1))
         go(send, Hop(n + 1, 0, name, "c0", None, want(name), at))
         data += resp.array(name.encode(), b"ACK", b"entity=e,issued=1", b"body-%d" % n)
     seen, put = [], ClientWriter.uncork
@@ -397,7 +397,7 @@
                 client_writer,
                 ident,
             )
-            open_txns.take(txn)
+            open_txns.add(txn)
             route.post(route.arrived, txn)
             end(ident)
 
@@ -448,7 +448,7 @@
     client_writer = ClientWriter(here, encode, route.answer_sender)
     client_writer.open_stream(1, 1)
     at = clock()
-    route.open_txns.take(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, client_writer, 1))
+    route.open_txns.add(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, client_writer, 1))
     route.post(route.arrived, route.open_txns.by_id[1])  # no server is listed
     there.setblocking(False)
     assert there.recv(100)[9] == frames.REFUSED and route.answer_sender.all_delivered()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -599,7 +599,7 @@
     send = ConnectionPool(deployment(settings()), open_txns, answer_sender, 4)
     send.route = Events()
     client_writer = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.all_delivered(), dict(open_txns.by_id))))
-    open_txns.take(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, client_writer, 1))
+    open_txns.add(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, client_writer, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
     send.answered(hop, resp.reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
     assert seen == [(False, {})] and answer_sender.all_delivered()
@@ -608,7 +608,7 @@
 def test_a_withdrawn_txn_is_not_answered_and_the_book_gives_each_away_once():
     open_txns = OpenTxns()
     txn = Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"body", 0, 0, None, 1)
-    open_txns.take(txn)
+    open_txns.add(txn)
     assert open_txns.bytes == 4
     assert open_txns.settle(5, Answer("completed")) is txn and open_txns.settle(5, Answer("aborted")) is None
     assert not open_txns.withdraw(5) and open_txns.counts["late"] == 1 and open_txns.counts["completed"] == 1 and not open_txns.bytes
@@ -667,7 +667,7 @@
     client_writer = ClientWriter(here, encode, route.answer_sender)
     client_writer.streams[1] = 1
     now = clock()
-    route.open_txns.take(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, client_writer, 1))
+    route.open_txns.add(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, client_writer, 1))
     route.post(route.arrived, route.open_txns.by_id[1])
     (hop,) = route.hops.values()
     left = []
