--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -145,7 +145,7 @@
                 if (found := txn.client_writer.check_client(hop)) is UNREAD_BYTES:
                     return False
                 if found is CLIENT_LEFT:
-                    if self.open_txns.withdraw(txn.ident, left=True):  # else its reader did so just now
+                    if self.open_txns.withdraw(txn.ident, client_left=True):  # else its reader did so just now
                         self.route.post(self.route.withdrawn, txn.ident)
                     txn = None
             if txn is None:
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -80,12 +80,12 @@
             self.count(answer.word, -len(txn.body))
         return txn
 
-    def withdraw(self, ident: int, left: bool = False) -> bool:
+    def withdraw(self, ident: int, client_left: bool = False) -> bool:
         """The client waits no more, and no answer is owed. With `left` its connection ended: it may come again."""
         txn = self.by_id.pop(ident, None)
         if txn is not None:
             self.count("withdrawn", -len(txn.body))
-            if left:
+            if client_left:
                 with self.lock:
                     self.names.discard(txn.name)
                     self.older.discard(txn.name)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -464,7 +464,7 @@
     send = sender(cache.address, open_txns=OpenTxns())
     client_writer = stays(send)
     hop = taken(send, client_writer, before_ms=50)
-    monkeypatch.setattr(client_writer, "check_client", lambda hop: (send.open_txns.withdraw(5, left=True), CLIENT_LEFT)[1])
+    monkeypatch.setattr(client_writer, "check_client", lambda hop: (send.open_txns.withdraw(5, client_left=True), CLIENT_LEFT)[1])
     lane = send.hop(hop)
     until(lambda: lane.ready)
     lane.pump()
