--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -293,7 +293,7 @@
                         "word": answer.word,
                         "late_ms": (now - txn.limit_at) // MS,
                         "hops": txn.hops,
-                        "given_ms": (txn.limit_at - txn.taken) // MS,
+                        "given_ms": (txn.limit_at - txn.taken_at) // MS,
                     }
                 },
             )
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -141,7 +141,7 @@
             return False
         if hop.want is not None:
             txn = self.open_txns.by_id.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
-            if txn is not None and now - txn.taken > LOOK_CLIENT:
+            if txn is not None and now - txn.taken_at > LOOK_CLIENT:
                 if (found := txn.client_writer.check_client(hop)) is UNREAD_BYTES:
                     return False
                 if found is CLIENT_LEFT:
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -32,7 +32,7 @@
     key: str | None
     tag: str | None
     body: bytes
-    taken: int
+    taken_at: int
     limit_at: int
     client_writer: object  # where its answer goes
     stream: int
