--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -23,7 +23,7 @@
 class Txn:
     ident: int
     name: str  # the client's id of it
-    rule_at: int
+    rule_index: int
     rule: str
     obj: str
     part: int
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -240,7 +240,7 @@
             return  # withdrawn while it waited here
         if self.gate is not None:
             return self.hold(txn)
-        self.router.txn_arrived(txn.ident, txn.rule_at, txn.obj, txn.part, txn.limit_at - self.clock, txn.kb, txn.group)
+        self.router.txn_arrived(txn.ident, txn.rule_index, txn.obj, txn.part, txn.limit_at - self.clock, txn.kb, txn.group)
 
     def hold(self, txn: Txn) -> None:
         until = self.gate.until(self.clock, txn.limit_at, len(self.held))
@@ -427,7 +427,7 @@
             self.clock,
             cut_at,
             txn.group,
-            NEVER if self.site.rules[txn.rule_at].never_kept else self.purges,
+            NEVER if self.site.rules[txn.rule_index].never_kept else self.purges,
             go_by,
             self.starts.get(server, UNKNOWN)[0],
             self.starts.get(source, UNKNOWN)[0],
