--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -292,7 +292,7 @@
                         "txn": txn.ident,
                         "word": answer.word,
                         "late_ms": (now - txn.limit_at) // MS,
-                        "hops": txn.hops,
+                        "hops": txn.hop_count,
                         "given_ms": (txn.limit_at - txn.taken_at) // MS,
                     }
                 },
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -36,7 +36,7 @@
     limit_at: int
     client_writer: object  # where its answer goes
     stream: int
-    hops: int = 0
+    hop_count: int = 0
 
 
 class OpenTxns:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -419,7 +419,7 @@
         )
         hop = Hop(
             ident,
-            txn.hops,
+            txn.hop_count,
             txn.name,
             server,
             source,
@@ -432,7 +432,7 @@
             self.starts.get(server, UNKNOWN)[0],
             self.starts.get(source, UNKNOWN)[0],
         )
-        txn.hops += 1
+        txn.hop_count += 1
         self.go(hop)
 
     def unsent(self, hop: Hop) -> None:
@@ -471,7 +471,12 @@
                 log.debug(
                     "answered",
                     extra={
-                        "kv": {"txn": txn.name, "word": answer.word, "attempts": txn.hops, "left_ms": (txn.limit_at - self.clock) // MS}
+                        "kv": {
+                            "txn": txn.name,
+                            "word": answer.word,
+                            "attempts": txn.hop_count,
+                            "left_ms": (txn.limit_at - self.clock) // MS,
+                        }
                     },
                 )
             self.outbox.append((None, txn, answer))
