--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -32,7 +32,7 @@
 
 
 def encode(stream: int, answer: Answer) -> tuple:
-    return frames.answer(stream, answer.word, answer.come_back_ms, answer.unchanged, answer.body)
+    return frames.answer(stream, answer.outcome, answer.come_back_ms, answer.unchanged, answer.body)
 
 
 def listen_at(where: tuple[str, int]) -> socket.socket:
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -290,7 +290,7 @@
                 extra={
                     "kv": {
                         "txn": txn.ident,
-                        "word": answer.word,
+                        "word": answer.outcome,
                         "late_ms": (now - txn.limit_at) // MS,
                         "hops": txn.hop_count,
                         "given_ms": (txn.limit_at - txn.taken_at) // MS,
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -13,7 +13,7 @@
 
 @record()
 class Answer:
-    word: str  # "completed", "rejected" or "aborted"
+    outcome: str  # "completed", "rejected" or "aborted"
     come_back_ms: int = 0
     unchanged: bool = False  # the client's own copy is the one
     body: memoryview | bytes = b""
@@ -77,7 +77,7 @@
         if txn is None:
             self.count("late")
         else:
-            self.count(answer.word, -len(txn.body))
+            self.count(answer.outcome, -len(txn.body))
         return txn
 
     def withdraw(self, ident: int, client_left: bool = False) -> bool:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -473,7 +473,7 @@
                     extra={
                         "kv": {
                             "txn": txn.name,
-                            "word": answer.word,
+                            "word": answer.outcome,
                             "attempts": txn.hop_count,
                             "left_ms": (txn.limit_at - self.clock) // MS,
                         }
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -344,7 +344,7 @@
         def answer(self, stream, answer, cork=None, late=False):
             if streams.pop(stream, None) is None:
                 return False
-            answered.setdefault(stream, []).append(answer.word)
+            answered.setdefault(stream, []).append(answer.outcome)
             return True
 
     def hop_out(hop):
