--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -32,7 +32,7 @@
 
 
 def encode(stream: int, answer: Answer) -> tuple:
-    return frames.answer(stream, answer.outcome, answer.come_back_ms, answer.unchanged, answer.body)
+    return frames.answer(stream, answer.outcome, answer.retry_after_ms, answer.unchanged, answer.body)
 
 
 def listen_at(where: tuple[str, int]) -> socket.socket:
@@ -168,7 +168,7 @@
             elif not self.used.new(value.stream):
                 raise frames.BadFrame("stream used again")
             elif len(self.client_writer.streams) >= MOST_STREAMS:
-                self.client_writer.write(encode(value.stream, Answer("rejected", self.client_listener.admission.come_back_ms)))
+                self.client_writer.write(encode(value.stream, Answer("rejected", self.client_listener.admission.retry_after_ms)))
             else:
                 self.proved |= self.client_listener.admission.request(value, self.client_writer, now)
         except frames.BadFrame:
--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -218,13 +218,13 @@
 PLAIN = struct.Struct(">IBIBB")  # the head of an answer without fields
 
 
-def answer(stream: int, word: str, come_back_ms: int = 0, unchanged: bool = False, body=b"") -> tuple:
-    if not come_back_ms and not unchanged:
+def answer(stream: int, word: str, retry_after_ms: int = 0, unchanged: bool = False, body=b"") -> tuple:
+    if not retry_after_ms and not unchanged:
         head = PLAIN.pack(7 + len(body), ANSWER, stream, CODES[word], 0)
         return (head + body,) if len(body) <= JOINED else (head, body)
     fields = {}
-    if come_back_ms:
-        fields["later"] = str(come_back_ms)
+    if retry_after_ms:
+        fields["later"] = str(retry_after_ms)
     if unchanged:
         fields["current"] = "1"
     return encode(ANSWER, stream, CODES[word], fields, body)
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -14,7 +14,7 @@
 @record()
 class Answer:
     outcome: str  # "completed", "rejected" or "aborted"
-    come_back_ms: int = 0
+    retry_after_ms: int = 0
     unchanged: bool = False  # the client's own copy is the one
     body: memoryview | bytes = b""
 
