--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -170,7 +170,7 @@
             elif len(self.client_writer.streams) >= MOST_STREAMS:
                 self.client_writer.write(encode(value.stream, Answer("rejected", self.client_listener.admission.retry_after_ms)))
             else:
-                self.proved |= self.client_listener.admission.request(value, self.client_writer, now)
+                self.proved |= self.client_listener.admission.handle_request(value, self.client_writer, now)
         except frames.BadFrame:
             raise
         except Exception:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -364,7 +364,7 @@
     open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
     route = SimpleNamespace(gather=lambda: None, handle=lambda: None, post=lambda *about: None, withdrawn=None)
     admit = SimpleNamespace(taken=[], retry_after_ms=0)
-    admit.request = lambda request, client_writer, now: (
+    admit.handle_request = lambda request, client_writer, now: (
         client_writer.open_stream(request.stream, 7) and not admit.taken.append(request.stream)
     )
     return ClientListener(("127.0.0.1", 0), most, 1 << 20, 1_000_000_000, admit, open_txns, route, answer_sender)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -109,7 +109,7 @@
 def test_a_request_s_time_counts_from_when_it_came_and_not_from_when_its_reader_had_a_turn(run):
     """Found by the soak (seed 211): its reader waited 250 ms for word of the board, for others; so after a stop of the process."""
     client_listener, times = entered(), {}
-    client_listener.admission.request = lambda request, client_writer, now: (
+    client_listener.admission.handle_request = lambda request, client_writer, now: (
         client_writer.open_stream(request.stream, 7) and not times.update({request.stream: now})
     )
     client_listener.route.handle = lambda: time.sleep(0.3) if len(times) == 1 else None
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -634,7 +634,7 @@
     site, client_writer = deployment(settings()), ClientWriter(here, encode, AnswerSender(1 << 20))
     admit = Admission(site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
     for stream in (1, 2):
-        admit.request(
+        admit.handle_request(
             Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), client_writer, clock()
         )
     assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(client_writer.streams) == [1]
@@ -648,11 +648,11 @@
     admit, client_writer = Admission(route.site, route.open_txns, route, 1000), ClientWriter(here, encode, route.answer_sender)
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
     route.lock.acquire()  # another thread is at it, and does not get on
-    admit.request(request, client_writer, 0)
+    admit.handle_request(request, client_writer, 0)
     assert 0.6e9 < route.open_txns.by_id[1].limit_at <= 0.675e9
     for _ in range(1000):
         route.post(lambda: None)
-    admit.request(replace(request, stream=2, txn="2" * 16), client_writer, 0)
+    admit.handle_request(replace(request, stream=2, txn="2" * 16), client_writer, 0)
     assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(route.open_txns.by_id) == [1]
 
 
