--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -22,7 +22,7 @@
     def __init__(self, site: Deployment, open_txns: OpenTxns, route, most_bytes: int):
         self.open_txns, self.route, self.most_open, self.most_bytes = open_txns, route, site.most_open, most_bytes
         self.retry_after_ms = site.router["longest_come_back"] // MS
-        self.refused = ReasonCounter(Refusal)  # requests turned away here
+        self.refusals = ReasonCounter(Refusal)  # requests turned away here
         self.ends_at = NEVER  # every txn has its answer by then: an ending program is killed soon after
         self.limits = [rule.limit for rule in site.rules]
         self.rules = {name: (at, site.rules[at].kind == "keyed") for at, name in enumerate(site.rule_names)}
@@ -78,7 +78,7 @@
         )
         if refusal is not None:
             self.open_txns.count("full")
-            self.refused.add(refusal)
+            self.refusals.add(refusal)
             client_writer.answer(request.stream, Answer("rejected", self.retry_after_ms))
             return True
         self.open_txns.add(txn)
