--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -214,7 +214,7 @@
         self.client_listener.close()
         killed_at = began + STILL_COMING + min(self.longest, KILLED_AFTER)
         left = min(self.longest, KILLED_AFTER) - BEFORE_IT
-        self.client_listener.admission.ends_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
+        self.client_listener.admission.latest_deadline = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
         while (took := time.monotonic() - began) < self.longest + STILL_COMING:
             late = took > STILL_COMING + left
             if late and self.open_txns.by_id:
--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -23,7 +23,7 @@
         self.open_txns, self.route, self.most_open, self.most_bytes = open_txns, route, site.most_open, most_bytes
         self.retry_after_ms = site.router["longest_come_back"] // MS
         self.refusals = ReasonCounter(Refusal)  # requests turned away here
-        self.ends_at = NEVER  # every txn has its answer by then: an ending program is killed soon after
+        self.latest_deadline = NEVER  # every txn has its answer by then: an ending program is killed soon after
         self.limits = [rule.limit for rule in site.rules]
         self.rules = {name: (at, site.rules[at].kind == "keyed") for at, name in enumerate(site.rule_names)}
 
@@ -64,7 +64,7 @@
             request.tag,
             request.body,
             now,
-            min(now + limit - SLACK // 2 - self.route.behind, self.ends_at),
+            min(now + limit - SLACK // 2 - self.route.behind, self.latest_deadline),
             client_writer,
             request.stream,
         )
