--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -102,7 +102,7 @@
             ("board", self.board.run),
             ("route", self.route.run),
             ("takein", self.client_listener.run),
-            ("watch", self.client_listener.watch),
+            ("watch", self.client_listener.run_sweep),
             ("counts", self.tell),
         ):
             threading.stack_size(DEEP_STACK if name == "board" else STACK)
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -280,7 +280,7 @@
             self.closed_for.add(CloseReason.NO_THREAD)
             self.ended(client)
 
-    def watch(self) -> None:
+    def run_sweep(self) -> None:
         """Closes connections that have been given their time."""
         while True:
             self.answer_sender.tick(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
