--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -285,9 +285,9 @@
         while True:
             self.answer_sender.tick(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
             time.sleep(TICK / 1e9)
-            self.look(time.monotonic())
+            self.sweep(time.monotonic())
 
-    def look(self, now: float) -> None:
+    def sweep(self, now: float) -> None:
         with self.lock:
             clients = list(self.clients)
         for client in clients:
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -29,7 +29,7 @@
     "a request is read": (("admission", "Admission", "handle_request", "self, *about", 5), "client"),
     "answers of a server are read": (("server_connection", "ServerConnection", "replies", "self, *about", 5), "connection"),
     "an attempt is looked at before its write": (("connection_pool", "ConnectionPool", "begin", "self, hop", 5), "write"),
-    "the clients' list is looked through": (("client_listener", "ClientListener", "look", "self, now", 2), "watch"),
+    "the clients' list is looked through": (("client_listener", "ClientListener", "sweep", "self, now", 2), "watch"),
 }
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -400,9 +400,9 @@
     there = joins(client_listener)
     client = next(iter(client_listener.clients))
     assert client.client_writer.shut_if_idle() and client_listener.clients
-    client_listener.look(client.client_writer.shut_at + 0.4)
+    client_listener.sweep(client.client_writer.shut_at + 0.4)
     assert client_listener.clients
-    client_listener.look(client.client_writer.shut_at + 0.6)
+    client_listener.sweep(client.client_writer.shut_at + 0.6)
     until(lambda: not client_listener.clients)
     assert there.get() is None
     client_listener.listener.close()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -719,10 +719,10 @@
     client_listener.clients.add(client)
     client.proved, later = True, time.monotonic() + 60
     there.sendall(b"\0")
-    client_listener.look(later)
+    client_listener.sweep(later)
     assert not client.client_writer.shut_at and not client_listener.make_room()
     here.recv(1)  # its reader has had its turn
-    client_listener.look(later)
+    client_listener.sweep(later)
     assert client.client_writer.shut_at
     there.close()
     here.close()
