--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -179,7 +179,7 @@
         # Over the enum, not the dict: the Router's thread adds to that meanwhile.
         counts |= {f"gave_up_{why.value}": gave_up[why] for why in GiveUp if why in gave_up}
         counts |= contained_errors.log_fields()
-        return counts | self.send.connection_ends.log_fields("connections") | self.client_listener.closed_for.log_fields("closed")
+        return counts | self.send.connection_ends.log_fields("connections") | self.client_listener.close_reasons.log_fields("closed")
 
     def reload(self) -> None:
         """Read the files again. One that can't be used changes nothing, nor does what a running router keeps."""
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -233,7 +233,7 @@
         self.ready = self.over = False  # over: the program's end has begun
         self.spare = max(2, most_clients // 16)
         self.clients: set[ClientConnection] = set()
-        self.closed_for = ReasonCounter(CloseReason)  # connections closed by this side
+        self.close_reasons = ReasonCounter(CloseReason)  # connections closed by this side
         self.lock = threading.Lock()
         self.room = threading.Condition(self.lock)  # told when a descriptor is free
         self.listener = listen_at(listen)
@@ -260,14 +260,14 @@
         """A connection that was accepted gets its reader, or is closed where there is no room."""
         if len(self.clients) >= self.most_clients and not self.make_room():
             log.warning("clients_full", extra={"kv": {"clients": len(self.clients)}})
-            self.closed_for.add(CloseReason.DESCRIPTORS)
+            self.close_reasons.add(CloseReason.DESCRIPTORS)
             sock.close()
             return
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self.gone_after_ms)
         except OSError:  # it was reset before it came here, on systems that say so
-            self.closed_for.add(CloseReason.NO_OPTIONS)
+            self.close_reasons.add(CloseReason.NO_OPTIONS)
             sock.close()
             return
         client = ClientConnection(self, sock)
@@ -277,7 +277,7 @@
             threading.Thread(target=client.read, name="client", daemon=True).start()
         except RuntimeError as wrong:  # the system gives no further thread
             log.error("accept", extra={"kv": {"why": str(wrong)}})
-            self.closed_for.add(CloseReason.NO_THREAD)
+            self.close_reasons.add(CloseReason.NO_THREAD)
             self.ended(client)
 
     def run_sweep(self) -> None:
@@ -305,7 +305,7 @@
 
     def closing_for(self, client: ClientConnection, why: CloseReason) -> None:
         """Counts and logs why a client's connection is shut or cut off."""
-        self.closed_for.add(why)
+        self.close_reasons.add(why)
         log.info("closed", extra={"kv": {"why": why.value, "open": len(client.client_writer.streams), "held": client.held}})
 
     def make_room(self, none: bool = False) -> bool:
