--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -209,7 +209,7 @@
         """Serve what still comes, answer all that was taken, then stop: once no connection is left open on which something could be
         taken, and nothing is owed. No look at what is open decides that, for a request may be read after it."""
         began = time.monotonic()
-        self.client_listener.ending()
+        self.client_listener.announce_end()
         time.sleep(STILL_COMING)
         self.client_listener.close()
         killed_at = began + STILL_COMING + min(self.longest, KILLED_AFTER)
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -359,7 +359,7 @@
         for ident in list(client.client_writer.streams.values()):
             self.withdraw(ident, left=True)
 
-    def ending(self) -> None:
+    def announce_end(self) -> None:
         """Not ready any more; open connections are told to bring nothing new. What comes is still served."""
         with self.lock:
             self.ready, self.over = False, True
