--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -125,7 +125,7 @@
         self.route.post(self.route.open, "current" if told else "no word of the board")
         if self.talk is not None:
             self.talk.overlay.startup_gate_opened()
-        if self.client_listener.open():
+        if self.client_listener.set_ready():
             log.info("ready", extra={"kv": {"name": self.node.name, "listen": "%s:%d" % self.node.listen}})
 
     def pauses(self, phase: str, _about: dict) -> None:
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -367,7 +367,7 @@
         for client in clients:
             client.client_writer.write(frames.no_more())
 
-    def open(self) -> bool:
+    def set_ready(self) -> bool:
         """The router is ready from now on; false where its end has begun."""
         with self.lock:
             self.ready = not self.over
