--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -211,7 +211,7 @@
         began = time.monotonic()
         self.client_listener.announce_end()
         time.sleep(STILL_COMING)
-        self.client_listener.close()
+        self.client_listener.stop_listening()
         killed_at = began + STILL_COMING + min(self.longest, KILLED_AFTER)
         left = min(self.longest, KILLED_AFTER) - BEFORE_IT
         self.client_listener.admission.latest_deadline = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
--- a/fieldspur/bench/count.py
+++ b/fieldspur/bench/count.py
@@ -80,7 +80,7 @@
         nonblocking.libc_send = self.raw
         threading.setprofile(None)
         self.sock.close()
-        self.service.client_listener.close()
+        self.service.client_listener.stop_listening()
         self.cache.kill()
         self.cache.wait()
         self.board.close()
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -373,7 +373,7 @@
             self.ready = not self.over
             return self.ready
 
-    def close(self) -> None:
+    def stop_listening(self) -> None:
         """No connection is taken any more, but those are that the system has accepted already: once this is back, all are in the list."""
         self.closing = True
         self.listener.setblocking(False)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -503,7 +503,7 @@
     client_listener = entered()
     there = joins(client_listener, accept=False)
     there.ask(1)
-    client_listener.close()
+    client_listener.stop_listening()
     until(lambda: client_listener.admission.taken == [1])
     assert not client_listener.shut(late=False)  # it owes an answer
     next(iter(client_listener.clients)).client_writer.answer(1, Answer("completed", body=b"x"))
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -120,7 +120,7 @@
     sent = clock()
     until(lambda: len(times) == 2)
     assert abs(times[2] - sent) < 60 * MS < clock() - sent
-    client_listener.close()
+    client_listener.stop_listening()
     service = run(cache := Cache(lambda want: None))
     client = service.client()
     pause(service.process)
@@ -306,7 +306,7 @@
     there = joins(client_listener, accept=False)
     there.ask(1)
     assert handed.wait(5)
-    client_listener.close()
+    client_listener.stop_listening()
     assert client_listener.clients and not client_listener.shut(late=False) or client_listener.admission.taken == [1]
 
 
@@ -316,7 +316,7 @@
     for stream, client in enumerate(clients, 1):
         client.ask(stream)
     client_listener.listener = Failing(client_listener.listener, errno.ECONNABORTED, errno.ENFILE)
-    client_listener.close()
+    client_listener.stop_listening()
     until(lambda: sorted(client_listener.admission.taken) == [1, 2, 3], limit=3)
 
 
@@ -332,7 +332,7 @@
     for stream, client in enumerate(resting, 1):
         client.ask(stream)
     until(lambda: sorted(client_listener.admission.taken) == [1, 2, 3, 9])
-    client_listener.close()
+    client_listener.stop_listening()
 
 
 def test_a_client_with_an_open_request_is_answered_whoever_fills_the_memory_for_frames():
@@ -346,7 +346,7 @@
     assert there.get()[:2] == (66, 0)  # an error that belongs to no request: what it began is not read on
     client.client_writer.answer(1, Answer("completed", body=b"x"))
     assert there.get()[1:3] == (1, 79) and there.get() is None
-    client_listener.close()
+    client_listener.stop_listening()
 
 
 def test_a_look_at_a_client_whose_reader_closes_its_socket_meanwhile_ends_nothing():
