--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -219,7 +219,7 @@
             late = took > STILL_COMING + left
             if late and self.open_txns.by_id:
                 self.route.post(self.route.time_is_up)
-            if may_exit(self.client_listener.shut(late), len(self.open_txns.by_id), not self.answer_sender.all_delivered()):
+            if may_exit(self.client_listener.shut_connections(late), len(self.open_txns.by_id), not self.answer_sender.all_delivered()):
                 break
             time.sleep(0.01)
         parting_ends = min(time.monotonic() + PARTING, killed_at - LAST_MOMENT)
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -402,7 +402,7 @@
             else:
                 self.enter(sock)
 
-    def shut(self, late: bool) -> bool:
+    def shut_connections(self, late: bool) -> bool:
         """Shut each connection that owes nothing; whether all are, so that nothing can be taken any more. A client that has a request
         on its way, unread or half, is left for later, unless it is `late`."""
         with self.lock:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -505,9 +505,9 @@
     there.ask(1)
     client_listener.stop_listening()
     until(lambda: client_listener.admission.taken == [1])
-    assert not client_listener.shut(late=False)  # it owes an answer
+    assert not client_listener.shut_connections(late=False)  # it owes an answer
     next(iter(client_listener.clients)).client_writer.answer(1, Answer("completed", body=b"x"))
-    assert there.get()[1:3] == (1, 79) and there.get() is None and client_listener.shut(late=False)
+    assert there.get()[1:3] == (1, 79) and there.get() is None and client_listener.shut_connections(late=False)
 
 
 def test_what_lies_unread_or_half_is_left_its_time_before_a_connection_is_shut():
@@ -516,8 +516,8 @@
     client = next(iter(client_listener.clients))
     there.sock.sendall(b"\0\0\0\5")
     until(lambda: client.held)
-    assert not client_listener.shut(late=False) and not client.client_writer.shut_at
-    assert client_listener.shut(late=True) and client.client_writer.shut_at and there.get() is None
+    assert not client_listener.shut_connections(late=False) and not client.client_writer.shut_at
+    assert client_listener.shut_connections(late=True) and client.client_writer.shut_at and there.get() is None
     client_listener.listener.close()
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -307,7 +307,7 @@
     there.ask(1)
     assert handed.wait(5)
     client_listener.stop_listening()
-    assert client_listener.clients and not client_listener.shut(late=False) or client_listener.admission.taken == [1]
+    assert client_listener.clients and not client_listener.shut_connections(late=False) or client_listener.admission.taken == [1]
 
 
 def test_an_accept_that_fails_as_the_listener_closes_leaves_nobody_in_the_backlog():
