--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -254,9 +254,9 @@
                 time.sleep(ACCEPT_PAUSE)  # else it would be told so again and again, by a whole core
                 continue
             self.accepting.succeeded()
-            self.enter(sock)
+            self.add_connection(sock)
 
-    def enter(self, sock: socket.socket) -> None:
+    def add_connection(self, sock: socket.socket) -> None:
         """A connection that was accepted gets its reader, or is closed where there is no room."""
         if len(self.clients) >= self.most_clients and not self.make_room():
             log.warning("clients_full", extra={"kv": {"clients": len(self.clients)}})
@@ -400,7 +400,7 @@
                     return
                 time.sleep(ACCEPT_PAUSE)
             else:
-                self.enter(sock)
+                self.add_connection(sock)
 
     def shut_connections(self, late: bool) -> bool:
         """Shut each connection that owes nothing; whether all are, so that nothing can be taken any more. A client that has a request
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -373,7 +373,7 @@
 def joins(client_listener, accept=True):
     client = Client("%s:%d" % client_listener.listener.getsockname())
     if accept:
-        client_listener.enter(client_listener.listener.accept()[0])
+        client_listener.add_connection(client_listener.listener.accept()[0])
     return client
 
 
@@ -428,7 +428,7 @@
             raise OSError("reset")
 
     client_listener, sock = entered(), Reset()
-    client_listener.enter(sock)
+    client_listener.add_connection(sock)
     assert sock.fileno() < 0 and not client_listener.clients
     client_listener.listener.close()
 
