--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -236,7 +236,7 @@
         self.close_reasons = ReasonCounter(CloseReason)  # connections closed by this side
         self.lock = threading.Lock()
         self.room = threading.Condition(self.lock)  # told when a descriptor is free
-        self.listener = listen_at(listen)
+        self.listening_socket = listen_at(listen)
         self.accepting = Accepting()
         self.accepter: threading.Thread | None = None  # the thread in `run`
         self.closing = self.closed = False  # connections are to come no more; the listener is closed
@@ -245,7 +245,7 @@
         self.accepter = threading.current_thread()
         while not self.closed:
             try:
-                sock, _ = self.listener.accept()
+                sock, _ = self.listening_socket.accept()
             except OSError as wrong:
                 if not self.closing:
                     log.error("accept", extra={"kv": {"why": str(wrong)}})
@@ -376,22 +376,22 @@
     def stop_listening(self) -> None:
         """No connection is taken any more, but those are that the system has accepted already: once this is back, all are in the list."""
         self.closing = True
-        self.listener.setblocking(False)
+        self.listening_socket.setblocking(False)
         self.take_backlog(time.monotonic() + BACKLOG_WAIT)
         self.closed = True
         try:
-            self.listener.shutdown(socket.SHUT_RDWR)  # a thread may wait in `accept`, and a close does not wake it
+            self.listening_socket.shutdown(socket.SHUT_RDWR)  # a thread may wait in `accept`, and a close does not wake it
         except OSError:
             pass
         if self.accepter is not None:
             self.accepter.join(BACKLOG_WAIT)  # it may hold one that it has accepted
-        self.listener.close()
+        self.listening_socket.close()
 
     def take_backlog(self, until: float) -> None:
         """Accept all that the system has accepted. A failure for a moment leaves nobody there: each is owed an answer."""
         while True:
             try:
-                sock, _ = self.listener.accept()
+                sock, _ = self.listening_socket.accept()
             except BlockingIOError:
                 return
             except OSError as wrong:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -203,7 +203,7 @@
     until(lambda: client.held)
     go_on.set()
     looker.join()
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
 
 
 def test_an_attempt_put_by_in_the_moment_in_which_its_reader_has_worked_off_the_bytes_is_not_forgotten(monkeypatch):
@@ -223,7 +223,7 @@
     hop = SimpleNamespace(waited=False, lane=SimpleNamespace(again=again.append))
     assert client.client_writer.check_client(hop) == UNREAD_BYTES
     until(lambda: again == [hop], limit=2)
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
 
 
 @pytest.mark.parametrize("lies", ["unread", "in its reader's hand"])
@@ -371,9 +371,9 @@
 
 
 def joins(client_listener, accept=True):
-    client = Client("%s:%d" % client_listener.listener.getsockname())
+    client = Client("%s:%d" % client_listener.listening_socket.getsockname())
     if accept:
-        client_listener.add_connection(client_listener.listener.accept()[0])
+        client_listener.add_connection(client_listener.listening_socket.accept()[0])
     return client
 
 
@@ -392,7 +392,7 @@
     there.sock.shutdown(socket.SHUT_WR)
     until(lambda: not client_listener.clients)
     assert not client_listener.admission.taken
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
 
 
 def test_a_client_that_does_not_close_after_its_side_was_shut_is_cut_off_in_bounded_time():
@@ -405,7 +405,7 @@
     client_listener.sweep(client.client_writer.shut_at + 0.6)
     until(lambda: not client_listener.clients)
     assert there.get() is None
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
 
 
 def test_a_client_counts_until_its_descriptor_is_free_and_idle_ones_give_way():
@@ -417,7 +417,7 @@
         assert most <= 8 + client_listener.spare and all(sock.fileno() < 0 for sock in seen - {c.sock for c in client_listener.clients})
         seen |= {client.sock for client in client_listener.clients}
     assert most > 8 and sum(client.sock.fileno() >= 0 for client in idle) == 60
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
 
 
 def test_a_connection_that_is_refused_its_options_ends_alone():
@@ -430,7 +430,7 @@
     client_listener, sock = entered(), Reset()
     client_listener.add_connection(sock)
     assert sock.fileno() < 0 and not client_listener.clients
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
 
 
 def test_a_reader_that_ends_as_the_writer_has_just_ended_frees_the_descriptor_once():
@@ -482,7 +482,7 @@
         until(lambda: not client_listener.clients and client() is None, limit=5)
     finally:
         gc.enable()
-        client_listener.listener.close()
+        client_listener.listening_socket.close()
 
 
 def test_where_all_have_txns_a_further_client_is_turned_away_at_once():
@@ -493,7 +493,7 @@
     until(lambda: all(client.client_writer.streams for client in client_listener.clients))
     began = time.monotonic()
     assert joins(client_listener).get() is None and time.monotonic() - began < 0.5 and len(client_listener.clients) == len(both)
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
 
 
 # Shutdown.
@@ -518,7 +518,7 @@
     until(lambda: client.held)
     assert not client_listener.shut_connections(late=False) and not client.client_writer.shut_at
     assert client_listener.shut_connections(late=True) and client.client_writer.shut_at and there.get() is None
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
 
 
 def test_a_request_read_after_the_router_has_shut_its_side_is_not_sent_on(run):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -292,7 +292,7 @@
 def test_a_connection_that_was_accepted_as_the_listener_closes_is_in_the_list_before_the_program_looks_at_it():
     """Its thread had no turn between the accept and the list; all that is listed was shut, and the program left."""
     client_listener = entered()
-    real, handed = client_listener.listener, threading.Event()
+    real, handed = client_listener.listening_socket, threading.Event()
 
     class Slow(Failing):
         def accept(self):
@@ -301,7 +301,7 @@
             time.sleep(0.3)
             return found
 
-    client_listener.listener = Slow(real)
+    client_listener.listening_socket = Slow(real)
     threading.Thread(target=client_listener.run, daemon=True).start()
     there = joins(client_listener, accept=False)
     there.ask(1)
@@ -315,7 +315,7 @@
     clients = [joins(client_listener, accept=False) for _ in range(3)]
     for stream, client in enumerate(clients, 1):
         client.ask(stream)
-    client_listener.listener = Failing(client_listener.listener, errno.ECONNABORTED, errno.ENFILE)
+    client_listener.listening_socket = Failing(client_listener.listening_socket, errno.ECONNABORTED, errno.ENFILE)
     client_listener.stop_listening()
     until(lambda: sorted(client_listener.admission.taken) == [1, 2, 3], limit=3)
 
@@ -324,7 +324,9 @@
     """Found by the soak (seed 122): a request sent to a resting connection in that moment was cut off with it."""
     client_listener = entered()
     resting = [joins(client_listener) for _ in range(3)]
-    client_listener.listener = Failing(client_listener.listener, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ECONNABORTED)
+    client_listener.listening_socket = Failing(
+        client_listener.listening_socket, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ECONNABORTED
+    )
     threading.Thread(target=client_listener.run, daemon=True).start()
     further = joins(client_listener, accept=False)
     further.ask(9)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -726,4 +726,4 @@
     assert client.client_writer.shut_at
     there.close()
     here.close()
-    client_listener.listener.close()
+    client_listener.listening_socket.close()
