--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -220,7 +220,7 @@
         self,
         listen: tuple[str, int],
         most_clients: int,
-        most_bytes: int,
+        max_unfinished_bytes: int,
         gone_after: int,
         admit: Admission,
         open_txns: OpenTxns,
@@ -229,7 +229,7 @@
     ):
         self.admission, self.open_txns, self.route, self.answer_sender = admit, open_txns, route, answer_sender
         self.most_clients, self.gone_after_ms = most_clients, gone_after // MS
-        self.most_bytes, self.bytes = most_bytes, 0  # of unfinished frames
+        self.max_unfinished_bytes, self.bytes = max_unfinished_bytes, 0  # of unfinished frames
         self.ready = self.over = False  # over: the program's end has begun
         self.spare = max(2, most_clients // 16)
         self.clients: set[ClientConnection] = set()
@@ -336,7 +336,7 @@
         with self.lock:
             self.bytes += size - client.held
             client.held = size
-            most = max(self.clients, key=lambda c: c.held, default=None) if self.bytes > self.most_bytes else None
+            most = max(self.clients, key=lambda c: c.held, default=None) if self.bytes > self.max_unfinished_bytes else None
         if most is not None:
             log.warning("frames_full", extra={"kv": {"bytes": self.bytes}})
             self.closing_for(most, CloseReason.FRAME_MEMORY)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -339,7 +339,7 @@
 
 def test_a_client_with_an_open_request_is_answered_whoever_fills_the_memory_for_frames():
     client_listener = entered()
-    client_listener.most_bytes = 1000
+    client_listener.max_unfinished_bytes = 1000
     there = joins(client_listener)
     there.ask(1)
     client = next(iter(client_listener.clients))
