--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -219,7 +219,7 @@
     def __init__(
         self,
         listen: tuple[str, int],
-        most_clients: int,
+        max_clients: int,
         max_unfinished_bytes: int,
         gone_after: int,
         admit: Admission,
@@ -228,10 +228,10 @@
         answer_sender: AnswerSender,
     ):
         self.admission, self.open_txns, self.route, self.answer_sender = admit, open_txns, route, answer_sender
-        self.most_clients, self.gone_after_ms = most_clients, gone_after // MS
+        self.max_clients, self.gone_after_ms = max_clients, gone_after // MS
         self.max_unfinished_bytes, self.bytes = max_unfinished_bytes, 0  # of unfinished frames
         self.ready = self.over = False  # over: the program's end has begun
-        self.spare = max(2, most_clients // 16)
+        self.spare = max(2, max_clients // 16)
         self.clients: set[ClientConnection] = set()
         self.close_reasons = ReasonCounter(CloseReason)  # connections closed by this side
         self.lock = threading.Lock()
@@ -258,7 +258,7 @@
 
     def add_connection(self, sock: socket.socket) -> None:
         """A connection that was accepted gets its reader, or is closed where there is no room."""
-        if len(self.clients) >= self.most_clients and not self.make_room():
+        if len(self.clients) >= self.max_clients and not self.make_room():
             log.warning("clients_full", extra={"kv": {"clients": len(self.clients)}})
             self.close_reasons.add(CloseReason.DESCRIPTORS)
             sock.close()
@@ -309,7 +309,7 @@
         log.info("closed", extra={"kv": {"why": why.value, "open": len(client.client_writer.streams), "held": client.held}})
 
     def make_room(self, none: bool = False) -> bool:
-        """Whether there is a descriptor for one more. Each counts until it is free: beyond `most_clients` there are `spare` for
+        """Whether there is a descriptor for one more. Each counts until it is free: beyond `max_clients` there are `spare` for
         those whose side was shut and who have not closed theirs yet. One without a txn is shut: of those that never sent a request
         of use, if there are any, and of these the one idle for longest. Where even the spare ones are taken, the one that was shut
         first is cut off and its descriptor waited for, a moment at most; so it is where the system has `none` left, whoever took them."""
@@ -322,7 +322,7 @@
                     self.closing_for(client, CloseReason.DESCRIPTORS)
                     break
             shut = sorted((c for c in self.clients if c.client_writer.shut_at), key=lambda c: c.client_writer.shut_at)
-            most = len(self.clients) if none else self.most_clients + self.spare
+            most = len(self.clients) if none else self.max_clients + self.spare
             if not shut or len(self.clients) < most:
                 return bool(shut)
             if none:
