--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -211,7 +211,7 @@
                 self.proved,
             ),
             now,
-            self.client_listener.gone_after_ms / 1e3,
+            self.client_listener.client_timeout_ms / 1e3,
         )
 
 
@@ -228,7 +228,7 @@
         answer_sender: AnswerSender,
     ):
         self.admission, self.open_txns, self.route, self.answer_sender = admit, open_txns, route, answer_sender
-        self.max_clients, self.gone_after_ms = max_clients, gone_after // MS
+        self.max_clients, self.client_timeout_ms = max_clients, gone_after // MS
         self.max_unfinished_bytes, self.bytes = max_unfinished_bytes, 0  # of unfinished frames
         self.ready = self.over = False  # over: the program's end has begun
         self.spare = max(2, max_clients // 16)
@@ -265,7 +265,7 @@
             return
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self.gone_after_ms)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self.client_timeout_ms)
         except OSError:  # it was reset before it came here, on systems that say so
             self.close_reasons.add(CloseReason.NO_OPTIONS)
             sock.close()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -354,7 +354,9 @@
 def test_a_look_at_a_client_whose_reader_closes_its_socket_meanwhile_ends_nothing():
     """The threads that look are the sweep, the listener's and the main one: an error in any of them ends the program."""
     here, _there = socket.socketpair()
-    client = ClientConnection(SimpleNamespace(answer_sender=AnswerSender(1 << 20), gone_after_ms=30_000, freed=lambda client: None), here)
+    client = ClientConnection(
+        SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000, freed=lambda client: None), here
+    )
     client.sock = Closing(here, client.client_writer.reader_ended)
     assert client.unread() is False
     client.sock.ending.join()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -445,7 +445,7 @@
 
 def test_a_connection_used_as_it_should_be_is_kept_for_longer_than_one_that_is_not():
     here, _there = socket.socketpair()
-    client = ClientConnection(SimpleNamespace(answer_sender=AnswerSender(1 << 20), gone_after_ms=30_000), here)
+    client = ClientConnection(SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000), here)
     begun = client.since
     assert not client.overdue(begun + 1.9) and client.overdue(begun + 2.1) == "idle"
     client.proved = True
