--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -184,7 +184,7 @@
             self.client_writer.answer(stream, Answer("aborted"))
         self.fail("internal error")
 
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Guards against a process that was stopped: what came meanwhile lies unread, and the look at idle connections may have its
         turn before their readers. A request there is owed its answer."""
         with self.client_writer.lock:  # its descriptor is closed under it
@@ -292,7 +292,7 @@
             clients = list(self.clients)
         for client in clients:
             why = client.overdue(now)
-            if why and not (why in (CloseReason.IDLE, CloseReason.HALF_FRAME) and client.unread()):
+            if why and not (why in (CloseReason.IDLE, CloseReason.HALF_FRAME) and client.has_unread_bytes()):
                 self.closing_for(client, why)
                 if client.client_writer.shut_at:
                     client.client_writer.cut_off()
@@ -318,7 +318,7 @@
                 (c for c in self.clients if not c.client_writer.streams and not c.client_writer.shut_at),
                 key=lambda c: (c.proved, c.client_writer.idle_since),
             ):
-                if not client.unread() and client.client_writer.shut_if_idle():
+                if not client.has_unread_bytes() and client.client_writer.shut_if_idle():
                     self.closing_for(client, CloseReason.DESCRIPTORS)
                     break
             shut = sorted((c for c in self.clients if c.client_writer.shut_at), key=lambda c: c.client_writer.shut_at)
@@ -408,6 +408,6 @@
         with self.lock:
             clients = list(self.clients)
         for client in clients:
-            if late or not (client.held or client.unread() or client.in_hand()):
+            if late or not (client.held or client.has_unread_bytes() or client.in_hand()):
                 client.client_writer.close_when_done()
         return all(client.client_writer.shut_at for client in clients)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -384,7 +384,7 @@
     client = next(iter(client_listener.clients))
     client.client_writer.open_stream(1, 5)
     assert client.client_writer.answer(1, Answer("completed", body=b"late reader"))
-    assert not client.unread() and client.client_writer.shut_if_idle()
+    assert not client.has_unread_bytes() and client.client_writer.shut_if_idle()
     there.ask(2)
     until(lambda: select.select([there.sock], [], [], 0)[0])
     time.sleep(0.02)  # so the request has come, and what its coming leads to
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -358,9 +358,9 @@
         SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000, freed=lambda client: None), here
     )
     client.sock = Closing(here, client.client_writer.reader_ended)
-    assert client.unread() is False
+    assert client.has_unread_bytes() is False
     client.sock.ending.join()
-    assert client.unread() is False and here.fileno() < 0
+    assert client.has_unread_bytes() is False and here.fileno() < 0
 
 
 def test_an_operators_file_that_can_not_be_opened_for_a_moment_is_read_after_it(run, tmp_path, monkeypatch):
