--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -139,7 +139,7 @@
 
     def free(self) -> None:
         self.client_writer.freed = None  # else each holds the other until the collector looks, which is rare
-        self.client_listener.freed(self)
+        self.client_listener.connection_freed(self)
 
     def hold(self, size: int) -> None:
         if size and not self.held:
@@ -349,7 +349,7 @@
         if self.open_txns.withdraw(ident, left):
             self.route.post(self.route.withdrawn, ident)
 
-    def freed(self, client: ClientConnection) -> None:
+    def connection_freed(self, client: ClientConnection) -> None:
         with self.lock:
             self.clients.discard(client)
             self.room.notify()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -355,7 +355,7 @@
     """The threads that look are the sweep, the listener's and the main one: an error in any of them ends the program."""
     here, _there = socket.socketpair()
     client = ClientConnection(
-        SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000, freed=lambda client: None), here
+        SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000, connection_freed=lambda client: None), here
     )
     client.sock = Closing(here, client.client_writer.reader_ended)
     assert client.has_unread_bytes() is False
