--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -86,7 +86,7 @@
         window, arrivals = decoder.window, ArrivalTimes(self.sock, self.client_listener.answer_sender)
         looks = receive_poll(self.sock).poll
         try:
-            while size := self.sock.recv_into(window.view if self.failed or self.client_writer.shut_at else window.room()):
+            while size := self.sock.recv_into(window.view if self.failed or self.client_writer.shut_at else window.free_space()):
                 if self.failed or self.client_writer.shut_at:  # only to see its end, or what it was told might be lost in a reset
                     self.client_writer.processed_bytes += size
                     after += size
--- a/fieldspur/net/receive_buffer.py
+++ b/fieldspur/net/receive_buffer.py
@@ -20,7 +20,7 @@
     def __len__(self) -> int:
         return self.end - self.start
 
-    def room(self) -> memoryview:
+    def free_space(self) -> memoryview:
         """Where to read next, never empty."""
         held = self.end - self.start
         if not held:
@@ -52,7 +52,7 @@
         """Puts bytes that came otherwise into the room, as a socket would; yields how many each time."""
         left = memoryview(data)
         while left:
-            room = self.room()
+            room = self.free_space()
             size = min(len(room), len(left))
             room[:size] = left[:size]
             yield size
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -433,7 +433,7 @@
         """Waits for ever between answers; within one no longer than a connection may take to come up."""
         while True:
             try:
-                return self.sock.recv_into(decoder.window.room())
+                return self.sock.recv_into(decoder.window.free_space())
             except BlockingIOError:
                 if decoder.within():
                     raise resp.BadReply("an answer that stops short") from None
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -66,7 +66,7 @@
     window, sent = ReceiveBuffer(256, eager), b"".join(bytes([n % 251]) * size for n, size in enumerate(sizes))
     at, done = 0, 0
     while done < len(sizes):
-        room = window.room()
+        room = window.free_space()
         assert len(room)
         size = min(len(room), len(sent) - at, chance.randint(1, 5000))
         room[:size] = sent[at : at + size]
@@ -77,9 +77,9 @@
                 break
             assert window.buf[window.start : window.start + sizes[done]] == bytes([done % 251]) * sizes[done]
             window.start, window.whole, done = window.start + sizes[done], 0, done + 1
-    before = window.room().obj
+    before = window.free_space().obj
     if eager:
-        assert window.room().obj is before
+        assert window.free_space().obj is before
 
 
 FIELD = st.sampled_from(["verb", "txn", "limit", "unique", "item", "slice", "set", "ram", "seen", "odd"])
@@ -114,7 +114,7 @@
     data = b"".join(resp.array(b"%016x" % n, b"ACK", b"entity=e", body) for n, body in enumerate(bodies))
     decoder, found, at = resp.Decoder(), [], 0
     while at < len(data):
-        room = decoder.window.room()
+        room = decoder.window.free_space()
         size = min(len(room), reads[len(found) % len(reads)], len(data) - at)
         room[:size] = data[at : at + size]
         at += size
@@ -259,7 +259,7 @@
 
     ClientWriter.uncork, decoder = look, resp.Decoder()
     try:
-        room = decoder.window.room()
+        room = decoder.window.free_space()
         room[: len(data)] = data
         lane.replies(decoder, len(data))
     finally:
