--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -190,9 +190,9 @@
             if kind not in (REQUEST, GONE, ASK_READY):
                 raise BadFrame("type not for a router")
             if window.end - at < 4 + length:
-                window.whole = 4 + length
+                window.message_size = 4 + length
                 return
-            window.start, window.whole = at + 4 + length, 0
+            window.start, window.message_size = at + 4 + length, 0
             if kind == REQUEST:
                 found = usual(stream, window.buf, at + HEAD.size, at + 4 + length)
                 yield found or request(stream, bytes(window.view[at + HEAD.size : at + 4 + length]))
--- a/fieldspur/net/receive_buffer.py
+++ b/fieldspur/net/receive_buffer.py
@@ -15,7 +15,7 @@
         self.first, self.eager = first, eager
         self.buf = bytearray(first)
         self.view = memoryview(self.buf)
-        self.start = self.end = self.whole = 0
+        self.start = self.end = self.message_size = 0
 
     def __len__(self) -> int:
         return self.end - self.start
@@ -28,11 +28,11 @@
             if len(self.buf) > self.first and not self.eager:
                 self.resize(self.first)  # guards against clients that each made a large buffer once
             return self.view[: len(self.buf) >> 1]
-        if self.whole > held:
-            stop = self.start + self.whole
+        if self.message_size > held:
+            stop = self.start + self.message_size
             if stop > len(self.buf):
-                self.resize(2 * self.whole if self.eager else min(self.whole, 2 * max(held, self.first)))
-                stop = min(self.whole, len(self.buf))
+                self.resize(2 * self.message_size if self.eager else min(self.message_size, 2 * max(held, self.first)))
+                stop = min(self.message_size, len(self.buf))
             return self.view[self.end : max(stop, len(self.buf) >> 1)]
         if self.end >= len(self.buf) >> 1:  # the start of a message whose length is not known yet
             self.resize(len(self.buf) if held < len(self.buf) >> 2 else 2 * len(self.buf))
--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -214,7 +214,7 @@
         window.end += size
         while window.start < window.end:
             if not self.due:
-                if window.whole > window.end - window.start:
+                if window.message_size > window.end - window.start:
                     return  # the rest of an answer whose length is known
                 found = USUAL.match(window.buf, window.start, window.end)
                 if found is not None:
@@ -227,10 +227,10 @@
                         and int(bulk) <= MOST_BULK
                     ):
                         if window.end < end + 2:
-                            window.whole = end + 2 - window.start
+                            window.message_size = end + 2 - window.start
                             return
                         if window.buf[end] == 13 and window.buf[end + 1] == 10:
-                            window.start, window.whole = end + 2, 0
+                            window.start, window.message_size = end + 2, 0
                             yield reply_of(ident.decode(), word.decode(), text.decode(), window.view[found.end() : end], 4)
                             continue
                 found = self.line(42)
@@ -249,7 +249,7 @@
                     raise BadReply("an item of that length")
                 if len(window) < end + 2:
                     self.at = begun
-                    window.whole = end + 2
+                    window.message_size = end + 2
                     return
                 if window.buf[window.start + end : window.start + end + 2] != b"\r\n":
                     raise BadReply("an item without its end")
@@ -257,5 +257,5 @@
                 self.at, self.due = end + 2, self.due - 1
             base, size = window.start, self.at
             items, self.items, self.at = self.items, [], 0
-            window.start, window.whole = base + size, 0
+            window.start, window.message_size = base + size, 0
             yield reply([window.view[base + item.start : base + item.stop] for item in items])
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -72,11 +72,11 @@
         room[:size] = sent[at : at + size]
         window.end, at = window.end + size, at + size
         while done < len(sizes):
-            window.whole = sizes[done]
+            window.message_size = sizes[done]
             if window.end - window.start < sizes[done]:
                 break
             assert window.buf[window.start : window.start + sizes[done]] == bytes([done % 251]) * sizes[done]
-            window.start, window.whole, done = window.start + sizes[done], 0, done + 1
+            window.start, window.message_size, done = window.start + sizes[done], 0, done + 1
     before = window.free_space().obj
     if eager:
         assert window.free_space().obj is before
