--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -175,7 +175,7 @@
 
     def feed(self, data: bytes):
         """Yields values; raises BadFrame where nothing more can be read."""
-        for size in self.window.pieces(data):
+        for size in self.window.feed(data):
             yield from self.filled(size)
 
     def filled(self, size: int):
--- a/fieldspur/net/receive_buffer.py
+++ b/fieldspur/net/receive_buffer.py
@@ -48,7 +48,7 @@
             self.buf, self.view = buf, memoryview(buf)
         self.start, self.end = 0, held
 
-    def pieces(self, data: bytes):
+    def feed(self, data: bytes):
         """Puts bytes that came otherwise into the room, as a socket would; yields how many each time."""
         left = memoryview(data)
         while left:
--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -205,7 +205,7 @@
 
     def feed(self, data: bytes):
         """Yields replies; raises BadReply where nothing more can be read."""
-        for size in self.window.pieces(data):
+        for size in self.window.feed(data):
             yield from self.filled(size)
 
     def filled(self, size: int):
