--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -171,7 +171,7 @@
     """Cuts what clients send into values, across any split of reads."""
 
     def __init__(self):
-        self.window = ReceiveBuffer(FIRST, eager=False)
+        self.window = ReceiveBuffer(FIRST, trust_length=False)
 
     def feed(self, data: bytes):
         """Yields values; raises BadFrame where nothing more can be read."""
--- a/fieldspur/net/receive_buffer.py
+++ b/fieldspur/net/receive_buffer.py
@@ -10,9 +10,9 @@
     message at `start` is, it sets `whole`, and no message of a known length is moved inside the buffer: reads stop in
     the buffer's first half, and only the rest of a message that began there goes beyond."""
 
-    def __init__(self, first: int, eager: bool):
+    def __init__(self, first: int, trust_length: bool):
         """`first` bytes to begin with. `eager`: takes the peer's word for a length, else room grows with what came."""
-        self.first, self.eager = first, eager
+        self.first, self.trust_length = first, trust_length
         self.buf = bytearray(first)
         self.view = memoryview(self.buf)
         self.start = self.end = self.message_size = 0
@@ -25,13 +25,13 @@
         held = self.end - self.start
         if not held:
             self.start = self.end = 0
-            if len(self.buf) > self.first and not self.eager:
+            if len(self.buf) > self.first and not self.trust_length:
                 self.resize(self.first)  # guards against clients that each made a large buffer once
             return self.view[: len(self.buf) >> 1]
         if self.message_size > held:
             stop = self.start + self.message_size
             if stop > len(self.buf):
-                self.resize(2 * self.message_size if self.eager else min(self.message_size, 2 * max(held, self.first)))
+                self.resize(2 * self.message_size if self.trust_length else min(self.message_size, 2 * max(held, self.first)))
                 stop = min(self.message_size, len(self.buf))
             return self.view[self.end : max(stop, len(self.buf) >> 1)]
         if self.end >= len(self.buf) >> 1:  # the start of a message whose length is not known yet
--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -180,7 +180,7 @@
     """Cuts what a server sends into values, across any split of reads; nothing is read twice or copied whole."""
 
     def __init__(self):
-        self.window = ReceiveBuffer(FIRST, eager=True)
+        self.window = ReceiveBuffer(FIRST, trust_length=True)
         self.at = 0  # read so far of the present array, from its start
         self.due = 0  # items of it still to come
         self.items: list[slice] = []  # where they lie, from its start
