--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -8,7 +8,7 @@
 from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.record import record
 
-REQUEST, ANSWER, GONE, ASK_READY, READY, NO_MORE = 65, 66, 67, 80, 81, 90
+REQUEST, ANSWER, WITHDRAW, ASK_READY, READY, NO_MORE = 65, 66, 67, 80, 81, 90
 SERVED, REFUSED, FAILED = 79, 66, 69
 CODES = {"completed": SERVED, "rejected": REFUSED, "aborted": FAILED}
 LEAST, MOST = 5, 262_144  # of a frame's length
@@ -187,7 +187,7 @@
             length, kind, stream = HEAD.unpack_from(window.buf, at)
             if not LEAST <= length <= MOST:
                 raise BadFrame("length out of bounds")
-            if kind not in (REQUEST, GONE, ASK_READY):
+            if kind not in (REQUEST, WITHDRAW, ASK_READY):
                 raise BadFrame("type not for a router")
             if window.end - at < 4 + length:
                 window.message_size = 4 + length
@@ -197,7 +197,7 @@
                 found = usual(stream, window.buf, at + HEAD.size, at + 4 + length)
                 yield found or request(stream, bytes(window.view[at + HEAD.size : at + 4 + length]))
             else:
-                yield Withdrawn(stream) if kind == GONE else ReadyAsked(stream)
+                yield Withdrawn(stream) if kind == WITHDRAW else ReadyAsked(stream)
 
 
 JOINED = 8192  # a body up to here is copied behind its head: one buffer to write costs less than two
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -48,7 +48,7 @@
                 )
                 + body,
             )
-            + frames.encode(frames.GONE, n + 1)
+            + frames.encode(frames.WITHDRAW, n + 1)
         )
         for n, (txn, part, body) in enumerate(rows)
     )
