--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -8,7 +8,7 @@
 from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.record import record
 
-REQUEST, ANSWER, WITHDRAW, ASK_READY, READY, NO_MORE = 65, 66, 67, 80, 81, 90
+REQUEST, ANSWER, WITHDRAW, READY_QUERY, READY, NO_MORE = 65, 66, 67, 80, 81, 90
 SERVED, REFUSED, FAILED = 79, 66, 69
 CODES = {"completed": SERVED, "rejected": REFUSED, "aborted": FAILED}
 LEAST, MOST = 5, 262_144  # of a frame's length
@@ -187,7 +187,7 @@
             length, kind, stream = HEAD.unpack_from(window.buf, at)
             if not LEAST <= length <= MOST:
                 raise BadFrame("length out of bounds")
-            if kind not in (REQUEST, WITHDRAW, ASK_READY):
+            if kind not in (REQUEST, WITHDRAW, READY_QUERY):
                 raise BadFrame("type not for a router")
             if window.end - at < 4 + length:
                 window.message_size = 4 + length
