--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -8,7 +8,7 @@
 from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.record import record
 
-REQUEST, ANSWER, WITHDRAW, READY_QUERY, READY, NO_MORE = 65, 66, 67, 80, 81, 90
+REQUEST, ANSWER, WITHDRAW, READY_QUERY, READY_REPLY, NO_MORE = 65, 66, 67, 80, 81, 90
 SERVED, REFUSED, FAILED = 79, 66, 69
 CODES = {"completed": SERVED, "rejected": REFUSED, "aborted": FAILED}
 LEAST, MOST = 5, 262_144  # of a frame's length
@@ -231,7 +231,7 @@
 
 
 def ready(stream: int, yes: bool) -> tuple:
-    return encode(READY, stream, SERVED if yes else REFUSED)
+    return encode(READY_REPLY, stream, SERVED if yes else REFUSED)
 
 
 def unreadable() -> tuple:
