--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -9,8 +9,8 @@
 from fieldspur.record import record
 
 REQUEST, ANSWER, WITHDRAW, READY_QUERY, READY_REPLY, NO_MORE_REQUESTS = 65, 66, 67, 80, 81, 90
-COMPLETED, REFUSED, FAILED = 79, 66, 69
-CODES = {"completed": COMPLETED, "rejected": REFUSED, "aborted": FAILED}
+COMPLETED, REJECTED, FAILED = 79, 66, 69
+CODES = {"completed": COMPLETED, "rejected": REJECTED, "aborted": FAILED}
 LEAST, MOST = 5, 262_144  # of a frame's length
 MOST_BODY = 48_000
 MOST_LIMIT, MOST_PART, MOST_GROUP = 2**31, 2**32, 255
@@ -231,7 +231,7 @@
 
 
 def ready(stream: int, yes: bool) -> tuple:
-    return encode(READY_REPLY, stream, COMPLETED if yes else REFUSED)
+    return encode(READY_REPLY, stream, COMPLETED if yes else REJECTED)
 
 
 def unreadable() -> tuple:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -451,7 +451,7 @@
     route.open_txns.add(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, client_writer, 1))
     route.post(route.arrived, route.open_txns.by_id[1])  # no server is listed
     there.setblocking(False)
-    assert there.recv(100)[9] == frames.REFUSED and route.answer_sender.all_delivered()
+    assert there.recv(100)[9] == frames.REJECTED and route.answer_sender.all_delivered()
 
 
 def test_an_earlier_timer_wakes_the_timers_thread_and_cancelled_ones_do_not():
