--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -9,8 +9,8 @@
 from fieldspur.record import record
 
 REQUEST, ANSWER, WITHDRAW, READY_QUERY, READY_REPLY, NO_MORE_REQUESTS = 65, 66, 67, 80, 81, 90
-COMPLETED, REJECTED, FAILED = 79, 66, 69
-CODES = {"completed": COMPLETED, "rejected": REJECTED, "aborted": FAILED}
+COMPLETED, REJECTED, ABORTED = 79, 66, 69
+CODES = {"completed": COMPLETED, "rejected": REJECTED, "aborted": ABORTED}
 LEAST, MOST = 5, 262_144  # of a frame's length
 MOST_BODY = 48_000
 MOST_LIMIT, MOST_PART, MOST_GROUP = 2**31, 2**32, 255
@@ -235,7 +235,7 @@
 
 
 def unreadable() -> tuple:
-    return encode(ANSWER, 0, FAILED)
+    return encode(ANSWER, 0, ABORTED)
 
 
 def no_more() -> tuple:
