--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -5,7 +5,7 @@
 import logging
 
 from fieldspur.net.client_writer import ClientWriter
-from fieldspur.net.frames import Request, Unusable
+from fieldspur.net.frames import Request, UnusableRequest
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.timer_wheel import NEVER
@@ -27,7 +27,7 @@
         self.limits = [rule.limit for rule in site.rules]
         self.rules = {name: (at, site.rules[at].kind == "keyed") for at, name in enumerate(site.rule_names)}
 
-    def handle_request(self, request: Request | Unusable, client_writer: ClientWriter, now: int) -> bool:
+    def handle_request(self, request: Request | UnusableRequest, client_writer: ClientWriter, now: int) -> bool:
         """Exactly one answer follows on the request's stream, unless it is withdrawn. Whether it was of use."""
         if isinstance(request, Request):
             at, keyed = self.rules.get(request.rule, (-1, False))
--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -44,7 +44,7 @@
 
 
 @record(frozen=True)
-class Unusable:
+class UnusableRequest:
     stream: int
     why: str
 
@@ -90,7 +90,7 @@
     return int(text)
 
 
-def request(stream: int, payload: bytes) -> Request | Unusable:
+def request(stream: int, payload: bytes) -> Request | UnusableRequest:
     try:
         fields, at = fields_of(payload)
         if len(payload) - at > MOST_BODY:
@@ -110,7 +110,7 @@
             payload[at:],
         )
     except BadField as bad:
-        return Unusable(stream, str(bad))
+        return UnusableRequest(stream, str(bad))
 
 
 FIRST = 4096  # of a connection's buffer
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -67,7 +67,7 @@
         try:
             for piece in cut(data, cuts):
                 for value in decoder.feed(piece):
-                    assert isinstance(value, (frames.Request, frames.Unusable, frames.Withdrawn, frames.ReadyAsked, resp.Reply))
+                    assert isinstance(value, (frames.Request, frames.UnusableRequest, frames.Withdrawn, frames.ReadyAsked, resp.Reply))
         except bad:
             pass
 
@@ -78,7 +78,7 @@
     decoder = frames.Decoder()
     data = b"".join(frames.encode(frames.REQUEST, 5, None, None, payload + body))
     (value,) = [v for piece in cut(data, cuts) for v in decoder.feed(piece)]
-    assert isinstance(value, (frames.Request, frames.Unusable)) and value.stream == 5
+    assert isinstance(value, (frames.Request, frames.UnusableRequest)) and value.stream == 5
 
 
 @tries(deadline=None, derandomize=True)
@@ -193,7 +193,7 @@
         bytes([len(k)]) + k.encode() + len(v).to_bytes(2, "big") + v.encode() for k, v in fields.items()
     )
     value = frames.request(1, payload)
-    assert isinstance(value, frames.Unusable) and value.why.startswith(name)
+    assert isinstance(value, frames.UnusableRequest) and value.why.startswith(name)
 
 
 def test_streams_are_new_only_once_in_any_order():
