--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -159,7 +159,7 @@
         """An unforeseen error over what came costs this connection: the request that it was about is answered, nothing further is read, and
         what else is owed still comes."""
         try:
-            if isinstance(value, frames.Withdrawn):
+            if isinstance(value, frames.Withdrawal):
                 ident = self.client_writer.streams.pop(value.stream, None)
                 if ident is not None:
                     self.client_listener.withdraw(ident)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -57,7 +57,7 @@
     assert [(v.txn, v.part, v.body, v.limit, v.kb, v.group) for v in values[::2]] == [
         (txn, part, body, 1_500_000_000, 412.5, 17) for txn, part, body in rows
     ]
-    assert values[1::2] == [frames.Withdrawn(n + 1) for n in range(len(rows))] and not len(decoder.window)
+    assert values[1::2] == [frames.Withdrawal(n + 1) for n in range(len(rows))] and not len(decoder.window)
 
 
 @tries(deadline=None, derandomize=True)
@@ -67,7 +67,7 @@
         try:
             for piece in cut(data, cuts):
                 for value in decoder.feed(piece):
-                    assert isinstance(value, (frames.Request, frames.UnusableRequest, frames.Withdrawn, frames.ReadyAsked, resp.Reply))
+                    assert isinstance(value, (frames.Request, frames.UnusableRequest, frames.Withdrawal, frames.ReadyAsked, resp.Reply))
         except bad:
             pass
 
