--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -163,7 +163,7 @@
                 ident = self.client_writer.streams.pop(value.stream, None)
                 if ident is not None:
                     self.client_listener.withdraw(ident)
-            elif isinstance(value, frames.ReadyAsked):
+            elif isinstance(value, frames.ReadyQuery):
                 self.client_writer.write(frames.ready(value.stream, self.client_listener.ready))
             elif not self.used.new(value.stream):
                 raise frames.BadFrame("stream used again")
--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -55,7 +55,7 @@
 
 
 @record(frozen=True)
-class ReadyAsked:
+class ReadyQuery:
     stream: int
 
 
@@ -197,7 +197,7 @@
                 found = usual(stream, window.buf, at + HEAD.size, at + 4 + length)
                 yield found or request(stream, bytes(window.view[at + HEAD.size : at + 4 + length]))
             else:
-                yield Withdrawal(stream) if kind == WITHDRAW else ReadyAsked(stream)
+                yield Withdrawal(stream) if kind == WITHDRAW else ReadyQuery(stream)
 
 
 JOINED = 8192  # a body up to here is copied behind its head: one buffer to write costs less than two
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -67,7 +67,7 @@
         try:
             for piece in cut(data, cuts):
                 for value in decoder.feed(piece):
-                    assert isinstance(value, (frames.Request, frames.UnusableRequest, frames.Withdrawal, frames.ReadyAsked, resp.Reply))
+                    assert isinstance(value, (frames.Request, frames.UnusableRequest, frames.Withdrawal, frames.ReadyQuery, resp.Reply))
         except bad:
             pass
 
