--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -425,7 +425,7 @@
             "life": one.life,
             "document": one.work.number if one.votes else None,
             "goes_by": one.report.applied_number if one.report else None,
-            "in_doubt": one.report.doubt if one.report else None,
+            "in_doubt": one.report.list_unknown if one.report else None,
         }
         for name, one in found.items()
     ]
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -14,8 +14,8 @@
 from typing import Any, NamedTuple
 
 from fieldspur.fleet import consensus, register_codec, work_orders
-from fieldspur.fleet.coordinator import Report, report
-from fieldspur.fleet.work_requests import ident
+from fieldspur.fleet.coordinator import Report, parse_report
+from fieldspur.fleet.work_requests import request_ident
 from fieldspur.operators import BadFile, Fleet, member, parse
 
 ANSWER = 2.0  # s for a member to be reached and to say its line
@@ -64,7 +64,7 @@
             consensus.NO_BALLOT,
             False,
             work_orders.EMPTY_DOCUMENT,
-            report(raw, register_codec.whole_number(line.get("nonce"), "nonce")),
+            parse_report(raw, register_codec.whole_number(line.get("nonce"), "nonce")),
         )
     register = register_codec.decode_register(line["register"], settle)
     return Told(
@@ -75,7 +75,7 @@
         register.promised,
         line.get("tick", [[0, -1]])[0] == list(register.promised),
         work_orders.read_document(register.decided.value),
-        report(raw, register.nonce) if raw is not None else None,
+        parse_report(raw, register.nonce) if raw is not None else None,
     )
 
 
@@ -153,7 +153,7 @@
 
 
 def name_of(row: dict) -> str:
-    return row.get("id") or ident(row)
+    return row.get("id") or request_ident(row)
 
 
 def add_request(path: Path, document: work_orders.WorkDocument, machine: str, needs: float, before: float = 0.0, beside: tuple = ()) -> str:
--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -1,10 +1,15 @@
-"""A router's lease on the list of work, by its own clock. Free of I/O; times are whole ns of each member's own monotonic clock.
+"""A router's lease on the server list, by its own clock. Free of I/O; times are whole ns of each member's own monotonic clock.
 
-A router that hears nothing can't know which machines went out since. So it may use those that are announced as next, or drain,
-only while it holds this lease: each of its lines brings a rising count; who acts says back which it read; the lease runs from
-when that count was published, by the asker's clock, so that a grant that lay in a buffer gives nothing more. Who acts knows
-when each one's has ended: a lease's length after it granted last, and not before one length after it began to act, for whoever
-acted before may have granted until then. The lease of `lease.py` with the parts exchanged."""
+A router that receives no lines can't know which machines went out meanwhile. So it may use machines that are announced as next, or
+that drain, only while it holds this lease:
+
+- Each of the router's lines carries a rising count. The coordinator publishes the count that it read last, which is the grant.
+- The lease runs from when the router published that count, by the router's clock. So a grant that was delayed in a buffer gives no
+  extra time.
+- The coordinator knows when each lease has ended: one lease length after its last grant, and no sooner than one length after it
+  became coordinator, because the coordinator before it may have granted leases until then.
+
+In the lease of `lease.py` the parts are exchanged: there the coordinator is the one that asks."""
 
 from __future__ import annotations
 
@@ -12,15 +17,15 @@
 
 
 class ListLease:
-    """The asker's side."""
+    """The side of the router that asks for the lease."""
 
     def __init__(self, length: int, drift: float = 0.01):
-        self.duration = int(length * (1 - drift))
+        self.duration = int(length * (1 - drift))  # shortened by the largest drift between two clocks
         self.count, self.until = 0, 0
-        self.published_at: dict[int, int] = {}  # count: when it was published
+        self.published_at: dict[int, int] = {}  # by count
 
     def request(self, now: int) -> int:
-        """The count that goes into the line of now."""
+        """Returns the count for the line that is published now."""
         self.count += 1
         self.published_at[self.count] = now
         while len(self.published_at) > MOST_TICKS:
@@ -28,26 +33,26 @@
         return self.count
 
     def renew(self, count: int) -> None:
-        """Who acts read that count. One that was forgotten, or of a process before, gives nothing."""
-        at = self.published_at.get(count)
-        if at is not None:
-            self.until = max(self.until, at + self.duration)
+        """The coordinator has read that count. A count that is forgotten, or of an earlier process, has no effect."""
+        published = self.published_at.get(count)
+        if published is not None:
+            self.until = max(self.until, published + self.duration)
 
     def is_held(self, now: int) -> bool:
-        """To be asked just before each write: a process that stood still has lost it meanwhile."""
+        """To be checked just before each write: a process that was stopped may have lost the lease meanwhile."""
         return now < self.until
 
 
 class GrantedListLeases:
-    """The side of who acts. Nothing is known while `since` is 0: it does not act."""
+    """The side of the coordinator. `since` is when this member became coordinator; while it is 0, nothing is known of any lease."""
 
     def __init__(self, length: int):
         self.length, self.since = length, 0
-        self.granted_at: dict[int, int] = {}  # member: when it was granted last
+        self.granted_at: dict[int, int] = {}  # member: time of its last grant
 
-    def set_active(self, yes: bool, now: int) -> None:
-        """To be called at each look: whoever acted between two terms of this member's may have granted too."""
-        if not yes:
+    def set_active(self, active: bool, now: int) -> None:
+        """To be called at each tick. Forgets all grants while inactive, because another coordinator may grant leases meanwhile."""
+        if not active:
             self.since, self.granted_at = 0, {}
         elif not self.since:
             self.since = now
@@ -55,6 +60,6 @@
     def grant(self, member: int, now: int) -> None:
         self.granted_at[member] = now
 
-    def has_ended(self, member: int, now: int, more: int = 0) -> bool:
-        """That member's lease has surely ended, and `more` ns have passed since."""
-        return self.since > 0 and now >= max(self.since, self.granted_at.get(member, 0)) + self.length + more
+    def has_ended(self, member: int, now: int, extra: int = 0) -> bool:
+        """Whether that member's lease has certainly ended, and `extra` ns have passed since."""
+        return self.since > 0 and now >= max(self.since, self.granted_at.get(member, 0)) + self.length + extra
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from fieldspur.decide import Fleet
-from fieldspur.fleet.coordinator import EJECTED, HEALTHY, MOST_LOADS, SLOW_START
+from fieldspur.fleet.coordinator import EJECTED, HEALTHY, MAX_LOADS, SLOW_START
 from fieldspur.fleet.work_orders import Listing
 from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.permissions import Shut
@@ -142,7 +142,7 @@
         fleet: Fleet = self.route.router.fleet
         now = self.route.now()
         loads = {}
-        for at, server in enumerate([*fleet.caches, *fleet.parents][:MOST_LOADS]):
+        for at, server in enumerate([*fleet.caches, *fleet.parents][:MAX_LOADS]):
             parent = at >= len(fleet.caches)
             how = (
                 SLOW_START
--- a/fieldspur/fleet/planner.py
+++ b/fieldspur/fleet/planner.py
@@ -21,7 +21,7 @@
     objects are filled anew elsewhere once it is out. `usable`: listed as up, and not cold."""
 
     zone: str
-    parent: bool
+    is_parent: bool
     capacity: float
     load: float
     fills: float
@@ -68,10 +68,10 @@
         self.machines, self.bounds, self.trouble = machines, bounds, trouble or {}
         self.zones: dict[str, list[str]] = {}
         for name, one in machines.items():
-            if not one.parent:
+            if not one.is_parent:
                 self.zones.setdefault(one.zone, []).append(name)
-        self.parents = [name for name, one in machines.items() if one.parent]
-        self.total = sum(one.capacity for one in machines.values() if not one.parent)
+        self.parents = [name for name, one in machines.items() if one.is_parent]
+        self.total = sum(one.capacity for one in machines.values() if not one.is_parent)
         self.away = frozenset(name for name, one in machines.items() if not one.usable)
         self.said: dict[tuple, str] = {}
 
@@ -91,14 +91,14 @@
         if len(out) > bounds.at_once:
             return f"{len(out)} machines out, bounds.at_once allows {bounds.at_once}"
         gone = out if ideal else out | self.away
-        lean = [name for name in gone if self.machines[name].parent]
+        lean = [name for name in gone if self.machines[name].is_parent]
         if lean and (found := self.judge_parents(out, lean, gone)):
             return found
-        caches = [name for name in gone if not self.machines[name].parent]
-        for zone in sorted({self.machines[name].zone for name in out if not self.machines[name].parent}):
+        caches = [name for name in gone if not self.machines[name].is_parent]
+        for zone in sorted({self.machines[name].zone for name in out if not self.machines[name].is_parent}):
             if found := self.judge_zone(zone, [name for name in caches if self.machines[name].zone == zone], ideal):
                 return found
-        if any(not self.machines[name].parent for name in out):
+        if any(not self.machines[name].is_parent for name in out):
             share = sum(self.machines[name].capacity for name in caches) / (self.total or 1.0)
             if len(caches) > 1 and share > bounds.all * (1 + SEEN):
                 return f"{share:.2f} of all capacity out, bounds.all allows {bounds.all:.2f}"
@@ -109,14 +109,14 @@
 
     def judge_parents(self, out: frozenset, lean: list, gone: frozenset) -> str:
         """A parent goes while all caches are there: by the shared hash each of them leans on each parent."""
-        bounds, parents = self.bounds, [name for name in out if self.machines[name].parent]
+        bounds, parents = self.bounds, [name for name in out if self.machines[name].is_parent]
         if not parents:  # a cache, while a parent is away
             return f"{min(lean)} is away, on which the caches lean"
         if len(lean) > bounds.parents:
             return f"{len(lean)} parents out, bounds.parents allows {bounds.parents}"
         if len(lean) == len(self.parents):
             return "no parent would be left"
-        leaning = sorted(name for name in gone if not self.machines[name].parent)
+        leaning = sorted(name for name in gone if not self.machines[name].is_parent)
         if leaning:
             return f"{leaning[0]} is away, that leans on {min(parents)}"
         stays = sum(self.machines[name].capacity for name in self.parents if name not in gone)
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -1,11 +1,17 @@
-"""Orders of work: the agreed document, and what follows in it from what is asked and seen. Free of I/O and of clocks.
+"""Work orders: the document that the fleet agrees on, and the rules by which its next version follows from requests and observations.
 
-An order is `waiting` until the plan takes it, `next` while all routers are told that its machine may go, `going` while all stop
-using it, `out` once all have stopped that could still use it (the drain binds from here at the latest), `free` when nothing is
-open there any more, `back` when the work is done and it warms, and then ended. `held` ones stay where they are asked for.
+This module does no I/O and reads no clock. The states of an order are:
 
-Who acts makes the successor of the document (`agree.propose`); all others only act by it. What has gone into a document is
-never taken from it by silence: a machine stays accounted for as out until somebody says that it is back.
+- `waiting`: the plan has not selected the order yet.
+- `held`: the operator has asked that the order does not start; it stays at the router where it was requested.
+- `next`: the order is announced; all routers are being notified that its machine may go out.
+- `going`: all routers stop using the machine.
+- `out`: every router that could still use the machine has stopped; from here on at the latest the machine counts as draining.
+- `free`: nothing is open at the machine any more, so the work can begin.
+- `back`: the work is done and the machine is in slow start. Then the order ends.
+
+The coordinator makes the next version of the document (`consensus.propose`); all other members only follow it. Silence never takes
+a machine out of the document: it counts as out until a router or an operator reports that it is back.
 """
 
 from __future__ import annotations
@@ -16,25 +22,44 @@
 
 from fieldspur.fleet import planner
 
-WAITING, HELD, NEXT, GOING, OUT, FREE, BACK = "waiting", "held", "next", "going", "out", "free", "back"
+WAITING = "waiting"
+HELD = "held"
+NEXT = "next"
+GOING = "going"
+OUT = "out"
+FREE = "free"
+BACK = "back"
 STATES = (WAITING, HELD, NEXT, GOING, OUT, FREE, BACK)
-WITHDRAWN = (GOING, OUT, FREE)  # no router that knows of it uses it
-ANNOUNCED = (NEXT, *WITHDRAWN)  # nor one that can't know what followed
-AWAY = (GOING, OUT, FREE, BACK)  # out as the bounds count, until it bears its part
-DONE, DROPPED, REFUSED = "done", "dropped", "refused"
-MOST_ORDERS, MOST_ENDED, MOST_ROUTERS = 64, 128, 256
-MOST_NAME, MOST_WITH, MOST_NOTE = 64, 8, 160  # characters, machines, characters
-LONGEST = 7 * 86_400  # s that work on a machine may take
-OVERDUE = 1.5  # times what it needs, after which an operator is told
+WITHDRAWN = (GOING, OUT, FREE)  # a router that knows such an order does not use its machine
+ANNOUNCED = (NEXT, *WITHDRAWN)  # a router that may lack later documents does not use these machines either
+AWAY = (GOING, OUT, FREE, BACK)  # counts as out in the bounds, until the machine carries its share of the load again
+
+# How an order ends.
+DONE = "done"
+DROPPED = "dropped"
+REFUSED = "refused"
+
+MAX_ORDERS = 64
+MAX_ENDED_ORDERS = 128
+MAX_ROUTERS = 256
+MAX_NAME_CHARS = 64
+MAX_COMPANIONS = 8  # machines that must be out together with the machine of an order
+MAX_NOTE_CHARS = 160
+MAX_WORK_S = 7 * 86_400  # longest work on a machine
+OVERDUE_FACTOR = 1.5  # work that takes longer than this multiple of its planned time is reported to the operator
 
 
 class BadOrder(ValueError):
-    """What is asked for can't be; the text says why."""
+    """A work request or a work document is invalid; the text says why."""
 
 
 class WorkRequest(NamedTuple):
-    """What an operator asks for at one router. `needs` s of work on `machine`; `before` in Unix s, 0 where it does not matter;
-    `beside` must be out together with it. `held`, `back`, `drop`: what is to become of it."""
+    """A request of an operator at one router, as it stands in the operators' file.
+
+    `machine` is to be out for `needs` seconds of work. `before` is the Unix time in s by which it should be back, 0 for no deadline.
+    The machines in `beside` must be out together with it. `held`, `back` and `drop` are what the operator wants to happen to the order.
+    The field names appear in error texts.
+    """
 
     ident: str
     machine: str
@@ -47,261 +72,278 @@
 
 
 class Order(NamedTuple):
+    """A work order in the agreed document. The order of the fields is the format on the wire, their names are printed as JSON."""
+
     ident: str
-    by: str  # the router where it was asked
+    by: str  # the router where the order was requested
     machine: str
-    needs: float
-    before: float
-    beside: tuple
+    needs: float  # s of work
+    before: float  # Unix s by which the machine should be back, 0: no deadline
+    beside: tuple  # machines that must be out together with this one
     state: str = WAITING
-    at: int = 0  # number of the document in which it came to this state
-    since: int = 0  # Unix ms of that, by the clock of who acted
-    next_at: int = 0  # numbers of the documents that announced it, and in which it began to go
-    going_at: int = 0
+    at: int = 0  # number of the document in which the order came to its state
+    since: int = 0  # Unix ms of that change, by the coordinator's clock
+    next_at: int = 0  # number of the document that announced the order
+    going_at: int = 0  # number of the document in which the order began to go
     started: int = 0  # Unix ms of the machine's start, as listed when it went out
-    where: str = ""  # its address then
-    note: str = ""  # for the operator: what it waits for, or what is wrong with it
+    where: str = ""  # the machine's address at that time
+    note: str = ""  # for the operator: what the order waits for, or what is wrong with it
 
 
 class Ended(NamedTuple):
+    """An order that has ended. The order of the fields is the format on the wire, their names are printed as JSON."""
+
     ident: str
     machine: str
-    how: str
-    why: str
-    number: int  # of the document that ended it
+    how: str  # DONE, DROPPED or REFUSED
+    why: str  # the reason, empty where none is needed
+    number: int  # number of the document that ended the order
 
 
 class WorkDocument(NamedTuple):
+    """What the members agree on: the work orders, the last ended ones, and the followers that have to be notified."""
+
     number: int = 0
     orders: tuple[Order, ...] = ()
     ended: tuple[Ended, ...] = ()
-    routers: tuple[str, ...] = ()  # that follow and are counted: nothing goes that they may still use; who settles is counted anyway
+    routers: tuple[str, ...] = ()  # counted followers: no machine goes out that they may still use; voting members always count
 
     def find(self, ident: str) -> Order | None:
-        return next((one for one in self.orders if one.ident == ident), None)
+        return next((order for order in self.orders if order.ident == ident), None)
 
     def knows(self, ident: str) -> bool:
-        return self.of(ident) is not None or any(one.ident == ident for one in self.ended)
+        """Whether the document holds this order, open or ended."""
+        return self.find(ident) is not None or any(ended.ident == ident for ended in self.ended)
 
     def machines_in(self, states: Iterable[str]) -> frozenset:
-        return frozenset(one.machine for one in self.orders if one.state in states)
+        return frozenset(order.machine for order in self.orders if order.state in states)
 
     def min_lease_number(self) -> int:
-        """Who has not applied this number or a later one does not know all that is going or gone: it gets no lease."""
-        return max((one.going_at for one in self.orders if one.state in WITHDRAWN), default=0)
+        """A member gets a lease only if it has applied this document or a later one: otherwise it does not know all machines that
+        are going or gone."""
+        return max((order.going_at for order in self.orders if order.state in WITHDRAWN), default=0)
 
 
 EMPTY_DOCUMENT = WorkDocument()
 
 
-def document_value(work: WorkDocument) -> list:
-    """As it is agreed and published: lists of plain values."""
+def document_value(document: WorkDocument) -> list:
+    """The document as it is agreed and published: lists of plain values."""
     return [
-        work.number,
-        [list(one._replace(beside=list(one.beside))) for one in work.orders],
-        [list(one) for one in work.ended],
-        list(work.routers),
+        document.number,
+        [list(order._replace(beside=list(order.beside))) for order in document.orders],
+        [list(ended) for ended in document.ended],
+        list(document.routers),
     ]
 
 
-KINDS = {"str": (str,), "float": (int, float), "int": (int,), "tuple": (tuple, list), "bool": (bool,)}
+# Types that JSON may bring, by the name of a field's annotation.
+ACCEPTED_TYPES = {"str": (str,), "float": (int, float), "int": (int,), "tuple": (tuple, list), "bool": (bool,)}
 
 
-def row(kind, raw, path: str):
-    """A named tuple from a list of its fields; raises BadOrder."""
-    names = kind._fields
-    if type(raw) not in (list, tuple) or len(raw) < len(names):  # more of them: a later version's
-        raise BadOrder(f"{path}: a list of {len(names)} wanted")
-    for name, one in zip(names, raw):
-        wanted = KINDS[kind.__annotations__[name].__forward_arg__]
-        if type(one) not in wanted or isinstance(one, str) and len(one) > MOST_NOTE:
-            raise BadOrder(f"{path}.{name}: {' or '.join(w.__name__ for w in wanted)} wanted")
-    return kind(*raw[: len(names)])
+def read_row(record_type, raw, path: str):
+    """Makes a named tuple of `record_type` from a list of its fields; raises BadOrder."""
+    field_names = record_type._fields
+    if type(raw) not in (list, tuple) or len(raw) < len(field_names):  # a later version may append fields
+        raise BadOrder(f"{path}: a list of {len(field_names)} wanted")
+    for field_name, value in zip(field_names, raw):
+        accepted = ACCEPTED_TYPES[record_type.__annotations__[field_name].__forward_arg__]
+        if type(value) not in accepted or isinstance(value, str) and len(value) > MAX_NOTE_CHARS:
+            raise BadOrder(f"{path}.{field_name}: {' or '.join(kind.__name__ for kind in accepted)} wanted")
+    return record_type(*raw[: len(field_names)])
 
 
 def read_document(raw: Any) -> WorkDocument:
-    """The document from what was agreed, of tuples; None stands for none so far. Raises BadOrder."""
+    """Reads a document from the agreed value, which consists of tuples; None is the empty document. Raises BadOrder."""
     try:
-        return parsed(raw)
+        return parse_document(raw)
     except TypeError:
         raise BadOrder("work: lists and plain values wanted") from None
 
 
-@lru_cache(maxsize=16)  # the same few are asked for at each line that comes
-def parsed(raw: Any) -> WorkDocument:
+@lru_cache(maxsize=16)  # each line that is received brings one of the same few values
+def parse_document(raw: Any) -> WorkDocument:
+    """As `read_document`; raises TypeError where `raw` can't be hashed."""
     if raw is None or raw == ():
         return EMPTY_DOCUMENT
     if type(raw) is not tuple or len(raw) < 3 or type(raw[0]) is not int or not all(type(rows) is tuple for rows in raw[1:3]):
         raise BadOrder("work: a number, orders and ended ones wanted")
-    orders = tuple(row(Order, one, f"work.orders[{n}]") for n, one in enumerate(raw[1]))
-    for n, one in enumerate(orders):
-        if one.state not in STATES or not all(type(name) is str for name in one.beside):
+    orders = tuple(read_row(Order, row, f"work.orders[{n}]") for n, row in enumerate(raw[1]))
+    for n, order in enumerate(orders):
+        if order.state not in STATES or not all(type(name) is str for name in order.beside):
             raise BadOrder(f"work.orders[{n}].state: none of {', '.join(STATES)}")
     routers = raw[3] if len(raw) > 3 else ()
-    if type(routers) is not tuple or not all(type(one) is str for one in routers):
+    if type(routers) is not tuple or not all(type(name) is str for name in routers):
         raise BadOrder("work.routers: names wanted")
     return WorkDocument(
         raw[0],
-        tuple(one._replace(beside=tuple(one.beside)) for one in orders),
-        tuple(row(Ended, one, f"work.ended[{n}]") for n, one in enumerate(raw[2])),
+        tuple(order._replace(beside=tuple(order.beside)) for order in orders),
+        tuple(read_row(Ended, row, f"work.ended[{n}]") for n, row in enumerate(raw[2])),
         routers,
     )
 
 
-# What members ask for.
+# Requests of members.
 
 
-def asks(wishes: Iterable[WorkRequest], work: WorkDocument, own: str) -> tuple[tuple, ...]:
-    """What the member `own` publishes so long as its wishes and the document differ: (verb, ident, ...)."""
-    wishes, found = list(wishes), []
-    for wish in wishes:
-        order = work.find(wish.ident)
+def pending_requests(requests: Iterable[WorkRequest], document: WorkDocument, own_name: str) -> tuple[tuple, ...]:
+    """What the member `own_name` publishes as long as its operators' requests and the document differ: (verb, ident, ...) tuples."""
+    requests, pending = list(requests), []
+    for request in requests:
+        order = document.find(request.ident)
         if order is None:
-            if not work.knows(wish.ident) and not wish.drop:
-                found.append(("add", wish.ident, wish.machine, wish.needs, wish.before, list(wish.beside), wish.held))
-        elif wish.drop:
-            found.append(("drop", wish.ident))
-        elif wish.back and order.state in (OUT, FREE):
-            found.append(("back", wish.ident))
-        elif order.by == own and wish.held != (order.state == HELD) and order.state in (WAITING, HELD, NEXT, GOING):
-            found.append(("hold" if wish.held else "go", wish.ident))
-    mine = {wish.ident for wish in wishes}
-    found += [("drop", one.ident) for one in work.orders if one.by == own and one.ident not in mine]
-    return tuple(found)
-
-
-def read_ask(raw) -> tuple:
-    """One ask of another member; raises BadOrder."""
+            if not document.knows(request.ident) and not request.drop:
+                pending.append(("add", request.ident, request.machine, request.needs, request.before, list(request.beside), request.held))
+        elif request.drop:
+            pending.append(("drop", request.ident))
+        elif request.back and order.state in (OUT, FREE):
+            pending.append(("back", request.ident))
+        elif order.by == own_name and request.held != (order.state == HELD) and order.state in (WAITING, HELD, NEXT, GOING):
+            pending.append(("hold" if request.held else "go", request.ident))
+    requested_idents = {request.ident for request in requests}
+    pending += [("drop", order.ident) for order in document.orders if order.by == own_name and order.ident not in requested_idents]
+    return tuple(pending)
+
+
+def read_request(raw) -> tuple:
+    """Checks one (verb, ident, ...) request of another member; raises BadOrder."""
     if (
         type(raw) not in (list, tuple)
         or len(raw) < 2
         or type(raw[0]) is not str
         or type(raw[1]) is not str
-        or not 0 < len(raw[1]) <= MOST_NAME
+        or not 0 < len(raw[1]) <= MAX_NAME_CHARS
     ):
         raise BadOrder("asks: a verb and a name wanted")
     if raw[0] != "add":
         return raw[0], raw[1]
-    wish = row(WorkRequest, (*raw[1:], False, False), "asks.add")
-    check(wish, "asks.add")
-    return ("add", *wish[:4], tuple(wish.beside), wish.held)
+    request = read_row(WorkRequest, (*raw[1:], False, False), "asks.add")
+    check_request(request, "asks.add")
+    return ("add", *request[:4], tuple(request.beside), request.held)
 
 
-def check(wish: WorkRequest, path: str) -> None:
-    """Raises BadOrder."""
-    if not 0 < len(wish.machine) <= MOST_NAME:
-        raise BadOrder(f"{path}.machine: a name of up to {MOST_NAME} characters wanted")
-    if not wish.drop and not 0 < wish.needs <= LONGEST:
-        raise BadOrder(f"{path}.needs_s: {wish.needs:g} is not within 0 to {LONGEST}")
-    if not 0 <= wish.before < 1e11:
-        raise BadOrder(f"{path}.before: {wish.before:g} is no time in Unix seconds")
-    if len(wish.beside) > MOST_WITH or not all(type(one) is str and 0 < len(one) <= MOST_NAME for one in wish.beside):
-        raise BadOrder(f"{path}.with: up to {MOST_WITH} names of machines wanted")
-    if wish.machine in wish.beside:
-        raise BadOrder(f"{path}.with: {wish.machine} itself")
+def check_request(request: WorkRequest, path: str) -> None:
+    """Raises BadOrder where a value of the request is out of its range; `path` is the start of the error text."""
+    if not 0 < len(request.machine) <= MAX_NAME_CHARS:
+        raise BadOrder(f"{path}.machine: a name of up to {MAX_NAME_CHARS} characters wanted")
+    if not request.drop and not 0 < request.needs <= MAX_WORK_S:
+        raise BadOrder(f"{path}.needs_s: {request.needs:g} is not within 0 to {MAX_WORK_S}")
+    if not 0 <= request.before < 1e11:
+        raise BadOrder(f"{path}.before: {request.before:g} is no time in Unix seconds")
+    if len(request.beside) > MAX_COMPANIONS or not all(type(name) is str and 0 < len(name) <= MAX_NAME_CHARS for name in request.beside):
+        raise BadOrder(f"{path}.with: up to {MAX_COMPANIONS} names of machines wanted")
+    if request.machine in request.beside:
+        raise BadOrder(f"{path}.with: {request.machine} itself")
 
 
-# What who acts sees.
+# What the coordinator observes.
 
 
 class Listing(NamedTuple):
-    """A machine on the notice board, as who acts reads it."""
+    """A machine as the discovery service lists it to the coordinator."""
 
     state: str = "gone"  # or "up", "draining"
-    started: int = 0  # Unix ms, 0 where not told
+    started: int = 0  # Unix ms of the machine's start, 0 where it is unknown
     address: str = ""
     zone: str = ""
-    kind: str = ""  # "cache" or "parent"; others are not served here
+    kind: str = ""  # "cache" or "parent"; empty for servers that work orders do not cover
     rating: float = 0.0
 
 
 class FleetView(NamedTuple):
-    """All that the successor of a document depends on, besides what is asked. Names are of members."""
+    """All that the next document depends on besides the requests. The functions return names of members."""
 
-    now: int  # Unix ms
-    board: dict  # machine: Listing
-    park: planner.MachinePool
-    drain: float  # s that a drain takes, as seen
-    warm: float  # s until a cold machine bears its part
-    members_not_notified: Callable[[int], list]  # who has not said that it applied that number
-    members_that_may_use: Callable[[int], list]  # who has not, and may still hold a lease
-    members_with_open_hops: Callable[[str, int], list]  # who may have hops or fills open at that machine, gone in that number
-    plans: Callable[[list, list, planner.MachinePool], planner.Plan]  # `plan.plan`, which may answer as it did a moment ago
-    bears: Callable[[Order], str]  # what a machine that is back still lacks, '' where it bears its part
+    now_ms: int  # Unix ms
+    listings: dict  # machine: Listing
+    pool: planner.MachinePool
+    drain_s: float  # expected duration of a drain
+    warm_up_s: float  # time until a machine in slow start carries its share of the load
+    members_not_notified: Callable[[int], list]  # members that have not reported that they applied the document of this number
+    members_that_may_use: Callable[[int], list]  # those of them that may still hold a lease
+    members_with_open_hops: Callable[[str, int], list]  # members that may have hops or fills open at the machine, gone in that document
+    make_plan: Callable[[list, list, planner.MachinePool], planner.Plan]  # `planner.make_plan`, or a recent answer of it
+    warm_up_status: Callable[[Order], str]  # what a returned machine still lacks, '' once it carries its share of the load
 
 
-def names(found: Iterable[str]) -> str:
-    found = sorted(found)
-    return ", ".join(found[:3]) + (f" and {len(found) - 3} more" if len(found) > 3 else "")
+def format_names(members: Iterable[str]) -> str:
+    members = sorted(members)
+    return ", ".join(members[:3]) + (f" and {len(members) - 3} more" if len(members) > 3 else "")
 
 
-def refusal(work: WorkDocument, ask: tuple, by: str, sight: FleetView) -> str:
-    """Why an order can't be taken; '' where it can."""
-    machine = ask[2]
-    same = next((one for one in work.orders if one.machine == machine), None)
+def refusal_reason(document: WorkDocument, request: tuple, by: str, view: FleetView) -> str:
+    """Why the "add" request can't become an order; '' where it can."""
+    machine = request[2]
+    same = next((order for order in document.orders if order.machine == machine), None)
     if same is not None:
         return f"{machine} is asked for already, by {same.by} as {same.ident}"
-    for name in (machine, *ask[5]):
-        listing = sight.board.get(name)
+    for name in (machine, *request[5]):
+        listing = view.listings.get(name)
         if listing is None or not listing.kind:
             return f"{name}: no such cache or parent on the board"
-    if len(work.orders) >= MOST_ORDERS:
-        return f"{MOST_ORDERS} orders are there already"
+    if len(document.orders) >= MAX_ORDERS:
+        return f"{MAX_ORDERS} orders are there already"
     return ""
 
 
-def counted(work: WorkDocument, verb: str, name: str, by: str, asked: list) -> WorkDocument:
-    """A router joins by its own word, and leaves by an operator's at any member, which goes before."""
-    leaves = verb == "leave" or any(ask[:2] == ("leave", name) for _, ask in asked)
+def with_router_change(document: WorkDocument, verb: str, name: str, by: str, requests: list) -> WorkDocument:
+    """Applies "join" or "leave" of a follower. A router joins by its own request only. It leaves by an operator's request at any
+    member, which takes precedence over a join."""
+    leaves = verb == "leave" or any(request[:2] == ("leave", name) for _, request in requests)
     if leaves:
-        return work._replace(routers=tuple(one for one in work.routers if one != name))
-    if by != name or name in work.routers or len(work.routers) >= MOST_ROUTERS:
-        return work
-    return work._replace(routers=tuple(sorted((*work.routers, name))))
-
-
-def taken(work: WorkDocument, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> WorkDocument:
-    """The document with what members ask for: (member, ask) each, in an order that does not matter to what is refused twice."""
-    number, asked = work.number + 1, sorted(asked)
-    for by, ask in asked:
-        verb, ident = ask[:2]
-        order = work.find(ident)
+        return document._replace(routers=tuple(router for router in document.routers if router != name))
+    if by != name or name in document.routers or len(document.routers) >= MAX_ROUTERS:
+        return document
+    return document._replace(routers=tuple(sorted((*document.routers, name))))
+
+
+def with_requests(document: WorkDocument, requests: Iterable[tuple[str, tuple]], view: FleetView) -> WorkDocument:
+    """Applies the requests of all members, (member, request) pairs. They are sorted, so that the result does not depend on the order
+    in which they were received."""
+    number, requests = document.number + 1, sorted(requests)
+    for by, request in requests:
+        verb, ident = request[:2]
+        order = document.find(ident)
         if verb in ("join", "leave"):
-            work = counted(work, verb, ident, by, asked)
-        elif verb == "add" and not work.knows(ident):
-            if why := refusal(work, ask, by, sight):
-                work = end(work, Order(ident, by, *ask[2:6]), REFUSED, why, number)
+            document = with_router_change(document, verb, ident, by, requests)
+        elif verb == "add" and not document.knows(ident):
+            if reason := refusal_reason(document, request, by, view):
+                document = with_ended(document, Order(ident, by, *request[2:6]), REFUSED, reason, number)
             else:
-                work = work._replace(orders=(*work.orders, Order(ident, by, *ask[2:6], HELD if ask[6] else WAITING, number, sight.now)))
+                document = document._replace(
+                    orders=(*document.orders, Order(ident, by, *request[2:6], HELD if request[6] else WAITING, number, view.now_ms))
+                )
         elif order is None:
             continue
         elif verb == "drop":
-            if order.state in (OUT, FREE):  # somebody may have worked on it: it comes back like one that was worked on
-                work = put(work, moved(order, BACK, number, sight.now, "withdrawn"))
+            if order.state in (OUT, FREE):  # work may have begun on the machine: it comes back like one that was worked on
+                document = with_order(document, in_state(order, BACK, number, view.now_ms, "withdrawn"))
             elif order.state != BACK:
-                work = end(work, order, DROPPED, f"withdrawn at {by}", number)
+                document = with_ended(document, order, DROPPED, f"withdrawn at {by}", number)
         elif verb == "hold" and order.state in (WAITING, NEXT, GOING):
-            work = put(work, moved(order, HELD, number, sight.now))
+            document = with_order(document, in_state(order, HELD, number, view.now_ms))
         elif verb == "go" and order.state == HELD:
-            work = put(work, moved(order, WAITING, number, sight.now))
+            document = with_order(document, in_state(order, WAITING, number, view.now_ms))
         elif verb == "back" and order.state in (OUT, FREE):
-            work = put(work, moved(order, BACK, number, sight.now))
-    return work
+            document = with_order(document, in_state(order, BACK, number, view.now_ms))
+    return document
 
 
-def end(work: WorkDocument, order: Order, how: str, why: str, number: int) -> WorkDocument:
-    return work._replace(
-        orders=tuple(one for one in work.orders if one.ident != order.ident),
-        ended=(*work.ended, Ended(order.ident, order.machine, how, why[:MOST_NOTE], number))[-MOST_ENDED:],
+def with_ended(document: WorkDocument, order: Order, how: str, why: str, number: int) -> WorkDocument:
+    """The document with this order moved to the ended ones."""
+    return document._replace(
+        orders=tuple(other for other in document.orders if other.ident != order.ident),
+        ended=(*document.ended, Ended(order.ident, order.machine, how, why[:MAX_NOTE_CHARS], number))[-MAX_ENDED_ORDERS:],
     )
 
 
-def put(work: WorkDocument, order: Order) -> WorkDocument:
-    return work._replace(orders=tuple(order if one.ident == order.ident else one for one in work.orders))
+def with_order(document: WorkDocument, order: Order) -> WorkDocument:
+    """The document with this version of the order in place of the old one."""
+    return document._replace(orders=tuple(order if other.ident == order.ident else other for other in document.orders))
 
 
-def moved(order: Order, state: str, number: int, now: int, note: str = "") -> Order:
-    order = order._replace(state=state, at=number, since=now, note=note[:MOST_NOTE])
+def in_state(order: Order, state: str, number: int, now_ms: int, note: str = "") -> Order:
+    """The order in a new state, as of the document `number`."""
+    order = order._replace(state=state, at=number, since=now_ms, note=note[:MAX_NOTE_CHARS])
     if state == NEXT:
         return order._replace(next_at=number)
     if state == GOING:
@@ -309,153 +351,160 @@
     return order
 
 
-def group(order: Order, work: WorkDocument) -> list[Order]:
-    """The order with those that must be out together with it, all of which are asked for."""
-    found = {order.machine}
+def order_group(order: Order, document: WorkDocument) -> list[Order]:
+    """The order and all orders of machines that must be out together with it, directly or through others."""
+    machines = {order.machine}
     while True:
-        more = {one.machine for one in work.orders if one.machine in found or found & set(one.beside)}
-        more |= {name for one in work.orders if one.machine in found for name in one.beside}
-        if more <= found:
-            return [one for one in work.orders if one.machine in found]
-        found |= more
-
-
-def whole(order: Order, work: WorkDocument) -> str:
-    """What is missing for it to go: those beside it that nobody asked for yet, or that are held."""
-    there = {one.machine: one for one in group(order, work)}
-    lacking = sorted(name for one in there.values() for name in one.beside if name not in there)
-    held = sorted(name for name, one in there.items() if one.state == HELD)
-    return f"nobody asked for {lacking[0]}" if lacking else f"{held[0]} is held" if held else ""
-
-
-def units(work: WorkDocument, sight: FleetView) -> tuple[list, list, dict]:
-    """Those that may begin, those that are away with s until they are back, and what the others wait for, by ident."""
-    free, running, notes, seen = [], [], {}, set()
-    for order in work.orders:
+        more = {other.machine for other in document.orders if other.machine in machines or machines & set(other.beside)}
+        more |= {name for other in document.orders if other.machine in machines for name in other.beside}
+        if more <= machines:
+            return [other for other in document.orders if other.machine in machines]
+        machines |= more
+
+
+def group_obstacle(order: Order, document: WorkDocument) -> str:
+    """Why the order's group can't go: a machine of the group that has no order yet, or whose order is held. '' where it can go."""
+    by_machine = {member.machine: member for member in order_group(order, document)}
+    missing = sorted(name for member in by_machine.values() for name in member.beside if name not in by_machine)
+    held = sorted(name for name, member in by_machine.items() if member.state == HELD)
+    return f"nobody asked for {missing[0]}" if missing else f"{held[0]} is held" if held else ""
+
+
+def planning_units(document: WorkDocument, view: FleetView) -> tuple[list, list, dict]:
+    """The units that may begin; the units that are away, each with the seconds until it is back; notes for the other orders, by
+    ident, that say what they wait for."""
+    ready, running, notes, seen = [], [], {}, set()
+    for order in document.orders:
         if order.ident in seen:
             continue
-        rows = group(order, work)
-        seen |= {one.ident for one in rows}
-        takes = sight.drain + max(one.needs for one in rows) + sight.warm
+        group = order_group(order, document)
+        seen |= {member.ident for member in group}
+        duration_s = view.drain_s + max(member.needs for member in group) + view.warm_up_s
         unit = planner.Unit(
-            rows[0].ident,
-            frozenset(one.machine for one in rows),
-            takes,
-            min((max(1.0, one.before - sight.now / 1000) for one in rows if one.before), default=0.0),
+            group[0].ident,
+            frozenset(member.machine for member in group),
+            duration_s,
+            min((max(1.0, member.before - view.now_ms / 1000) for member in group if member.before), default=0.0),
         )
-        if any(one.state in AWAY for one in rows):
-            running.append((unit, max(left(one, sight) for one in rows)))
-        elif order.state == HELD or (why := whole(order, work)):
-            notes |= {one.ident: "held" if one.state == HELD else why for one in rows}
+        if any(member.state in AWAY for member in group):
+            running.append((unit, max(remaining_s(member, view) for member in group)))
+        elif order.state == HELD or (obstacle := group_obstacle(order, document)):
+            notes |= {member.ident: "held" if member.state == HELD else obstacle for member in group}
         else:
-            free.append(unit)
-    return free, running, notes
-
-
-def left(order: Order, sight: FleetView) -> float:
-    """s until it is back, as planned, and a second at the least: what is late is not back yet."""
-    spent = max(0.0, (sight.now - order.since) / 1000)
-    parts = {BACK: sight.warm, FREE: order.needs + sight.warm}.get(order.state, sight.drain + order.needs + sight.warm)
-    return max(1.0, parts - spent)
-
-
-def next_document(work: WorkDocument, asked: Iterable[tuple[str, tuple]], sight: FleetView) -> WorkDocument | None:
-    """The document that follows, None where nothing does."""
-    found = taken(work, asked, sight)
-    number = work.number + 1
-    for order in found.orders:
-        after = follows(order, found, sight, number)
-        if after is None:
-            found = end(found, order, DONE, order.note if order.note == "withdrawn" else "", number)
-        elif after is not order:
-            found = put(found, after)
-    found = chosen(found, sight, number)
-    if found == work:
+            ready.append(unit)
+    return ready, running, notes
+
+
+def remaining_s(order: Order, view: FleetView) -> float:
+    """Planned seconds until the machine is back, at least one: a machine that is late is not back yet."""
+    spent_s = max(0.0, (view.now_ms - order.since) / 1000)
+    planned_s = {BACK: view.warm_up_s, FREE: order.needs + view.warm_up_s}.get(order.state, view.drain_s + order.needs + view.warm_up_s)
+    return max(1.0, planned_s - spent_s)
+
+
+def next_document(document: WorkDocument, requests: Iterable[tuple[str, tuple]], view: FleetView) -> WorkDocument | None:
+    """The document that follows, None where nothing changes."""
+    following = with_requests(document, requests, view)
+    number = document.number + 1
+    for order in following.orders:
+        updated = next_step(order, following, view, number)
+        if updated is None:
+            following = with_ended(following, order, DONE, order.note if order.note == "withdrawn" else "", number)
+        elif updated is not order:
+            following = with_order(following, updated)
+    following = apply_plan(following, view, number)
+    if following == document:
         return None
-    return found._replace(number=number)
+    return following._replace(number=number)
 
 
-def follows(order: Order, work: WorkDocument, sight: FleetView, number: int) -> Order | None:
-    """An order's next state by what is seen; None where it is done. Each step asks all members, never a timer alone."""
-    state, now = order.state, sight.now
-    listing = sight.board.get(order.machine, Listing())
+def next_step(order: Order, document: WorkDocument, view: FleetView, number: int) -> Order | None:
+    """The order after the observations in `view`; None where it is done. Each step depends on reports of all members, never on a
+    timer alone."""
+    state, now_ms = order.state, view.now_ms
+    listing = view.listings.get(order.machine, Listing())
     if state == GOING:
-        users = sight.members_that_may_use(order.going_at)
+        users = view.members_that_may_use(order.going_at)
         if not users:
-            return moved(order, OUT, number, now)._replace(started=listing.started, where=listing.address)
-        return noted(order, f"{names(users)} may still use it")
+            return in_state(order, OUT, number, now_ms)._replace(started=listing.started, where=listing.address)
+        return with_note(order, f"{format_names(users)} may still use it")
     if state == OUT:
-        users = sight.members_with_open_hops(order.machine, order.going_at)
+        users = view.members_with_open_hops(order.machine, order.going_at)
         if not users:
-            return moved(order, FREE, number, now)
-        return noted(order, f"{names(users)} may have something open there")
+            return in_state(order, FREE, number, now_ms)
+        return with_note(order, f"{format_names(users)} may have something open there")
     if state == FREE:
         if listing.state == "gone":
-            return noted(order, "gone from the board while out")
+            return with_note(order, "gone from the board while out")
         if listing.address != order.where:
-            return noted(order, f"back at another address: {listing.address}")
+            return with_note(order, f"back at another address: {listing.address}")
         if listing.state == "up" and listing.started > order.started:
-            return moved(order, BACK, number, now)
-        if now - order.since > OVERDUE * 1000 * order.needs:
-            return noted(order, "overdue")
-        return noted(order, "")
+            return in_state(order, BACK, number, now_ms)
+        if now_ms - order.since > OVERDUE_FACTOR * 1000 * order.needs:
+            return with_note(order, "overdue")
+        return with_note(order, "")
     if state == BACK:
         if listing.state != "up":
-            return noted(order, order.note if order.note == "withdrawn" else f"{listing.state} by the board's word")
-        lacks = sight.bears(order)
-        if not lacks:
+            return with_note(order, order.note if order.note == "withdrawn" else f"{listing.state} by the board's word")
+        missing = view.warm_up_status(order)
+        if not missing:
             return None
-        return order if order.note == "withdrawn" else noted(order, lacks)
+        return order if order.note == "withdrawn" else with_note(order, missing)
     return order
 
 
-def noted(order: Order, note: str) -> Order:
-    note = note[:MOST_NOTE]
+def with_note(order: Order, note: str) -> Order:
+    note = note[:MAX_NOTE_CHARS]
     return order if order.note == note else order._replace(note=note)
 
 
-def chosen(work: WorkDocument, sight: FleetView, number: int) -> WorkDocument:
-    """Announces what the plan begins next, lets go what all were told of, and takes back what the bounds forbid by now."""
-    free, running, notes = units(work, sight)
+def apply_plan(document: WorkDocument, view: FleetView, number: int) -> WorkDocument:
+    """Announces the orders that the plan begins next, starts announced orders that all members know of, and takes back orders that
+    the bounds no longer allow."""
+    ready, running, notes = planning_units(document, view)
     out = frozenset(machine for unit, _ in running for machine in unit.machines)
-    going = work.machines_in((GOING,))
-    away = work.machines_in(AWAY)
-    if going and (why := sight.park.violated_bound(away)):  # the board drained another, a location came into trouble, load rose
-        for order in work.orders:
+    going = document.machines_in((GOING,))
+    away = document.machines_in(AWAY)
+    # The bounds may be violated now because the discovery service drained another machine, a location is in trouble, or load rose.
+    if going and (reason := view.pool.violated_bound(away)):
+        for order in document.orders:
             if order.state == GOING and order.at < number:
-                work = put(work, moved(order, NEXT, number, sight.now, why))
-        return work
-    plans = sight.plans(free, running, sight.park)
-    begin = {step.unit for step in plans.steps if step.start == 0.0}
-    planned = out
-    said = {one.ident for one in work.orders if one.state == NEXT}
-    for unit in sorted(free, key=lambda unit: unit.name not in said):  # who was announced keeps its turn
-        rows = [one for one in work.orders if one.machine in unit.machines]
-        why = plans.impossible.get(unit.name, "") and f"never: {plans.impossible[unit.name]}"
-        ahead = not why and (unit.name in said or unit.name in begin) and not sight.park.violated_bound(planned | unit.machines)
-        if ahead:
-            planned |= unit.machines
-        for order in rows:
-            if order.state == WAITING and ahead and order.at < number:  # routers have their leases by then
-                work = put(work, moved(order, NEXT, number, sight.now))
-            elif order.state == NEXT and not ahead and order.at < number:
-                work = put(work, moved(order, WAITING, number, sight.now, why or waits(unit, out, sight)))
+                document = with_order(document, in_state(order, NEXT, number, view.now_ms, reason))
+        return document
+    plan = view.make_plan(ready, running, view.pool)
+    begins_now = {step.unit for step in plan.steps if step.start == 0.0}
+    planned_out = out
+    announced = {order.ident for order in document.orders if order.state == NEXT}
+    for unit in sorted(ready, key=lambda unit: unit.name not in announced):  # an announced order keeps its turn
+        unit_orders = [order for order in document.orders if order.machine in unit.machines]
+        reason = plan.impossible.get(unit.name, "") and f"never: {plan.impossible[unit.name]}"
+        may_start = (
+            not reason and (unit.name in announced or unit.name in begins_now) and not view.pool.violated_bound(planned_out | unit.machines)
+        )
+        if may_start:
+            planned_out |= unit.machines
+        for order in unit_orders:
+            if order.state == WAITING and may_start and order.at < number:  # one document later, routers have their leases
+                document = with_order(document, in_state(order, NEXT, number, view.now_ms))
+            elif order.state == NEXT and not may_start and order.at < number:
+                document = with_order(document, in_state(order, WAITING, number, view.now_ms, reason or wait_reason(unit, out, view)))
             elif order.state == WAITING:
-                notes[order.ident] = why or waits(unit, out, sight)
-        ready = [one for one in work.orders if one.machine in unit.machines]
-        if ahead and all(one.state == NEXT and one.at < number for one in ready):
-            late = sight.members_not_notified(max(one.next_at for one in ready))
-            for order in ready:
-                if late:
-                    notes[order.ident] = f"{names(late)} has not heard of it"
+                notes[order.ident] = reason or wait_reason(unit, out, view)
+        updated_orders = [order for order in document.orders if order.machine in unit.machines]
+        if may_start and all(order.state == NEXT and order.at < number for order in updated_orders):
+            not_notified = view.members_not_notified(max(order.next_at for order in updated_orders))
+            for order in updated_orders:
+                if not_notified:
+                    notes[order.ident] = f"{format_names(not_notified)} has not heard of it"
                 else:
-                    work = put(work, moved(order, GOING, number, sight.now))
+                    document = with_order(document, in_state(order, GOING, number, view.now_ms))
     for ident, note in notes.items():
-        order = work.find(ident)
+        order = document.find(ident)
         if order is not None and order.state in (WAITING, HELD, NEXT):
-            work = put(work, noted(order, note))
-    return work
+            document = with_order(document, with_note(order, note))
+    return document
 
 
-def waits(unit: planner.Unit, out: frozenset, sight: FleetView) -> str:
-    return sight.park.violated_bound(out | unit.machines) or sight.park.violated_bound(unit.machines) or "its turn comes"
+def wait_reason(unit: planner.Unit, out: frozenset, view: FleetView) -> str:
+    """The bound that keeps the unit waiting, or that its turn comes later."""
+    return view.pool.violated_bound(out | unit.machines) or view.pool.violated_bound(unit.machines) or "its turn comes"
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -47,7 +47,7 @@
 
     def member(self, n):
         made = Quiet(["r0", "r1", "r2"], f"r{n}", "east", LENGTH * UNIT, BOUNDS, False, LONGEST * UNIT, 0)
-        made.beat, made.ask_every, made.granted_leases.length, made.list_lease.duration = 1, 1, LENGTH * UNIT, LENGTH * UNIT
+        made.beat, made.lease_request_interval, made.granted_leases.length, made.list_lease.duration = 1, 1, LENGTH * UNIT, LENGTH * UNIT
         made.listings = BOARD
         if self.planted:
             self.planted(made)
@@ -134,7 +134,7 @@
                     tuple(sorted((m, nonce == self.nonce(m), self.age(m, count)) for m, (nonce, count) in one.grants.items())),
                     tuple(
                         sorted(
-                            (m, rep.applied_number, rep.doubt, rep.nonce == self.nonce(m), self.age(m, rep.count))
+                            (m, rep.applied_number, rep.list_unknown, rep.nonce == self.nonce(m), self.age(m, rep.lease_count))
                             for m, rep in one.reports.items()
                         )
                     ),
@@ -221,7 +221,12 @@
     made = copy.copy(one)
     made.list_lease, made.granted_leases = copy.copy(one.list_lease), copy.copy(one.granted_leases)
     made.list_lease.published_at, made.granted_leases.granted_at = dict(one.list_lease.published_at), dict(one.granted_leases.granted_at)
-    made.reports, made.grants, made.silent, made.back_at = dict(one.reports), dict(one.grants), set(one.silent), dict(one.back_at)
+    made.reports, made.grants, made.without_reports, made.return_seen_at = (
+        dict(one.reports),
+        dict(one.grants),
+        set(one.without_reports),
+        dict(one.return_seen_at),
+    )
     return made
 
 
