--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -54,7 +54,9 @@
         coordinator = Coordinator(self.names, name, self.zone(name), self.length, BOUNDS, False, LONGEST, WARM)
         coordinator.requests, nonce = self.wishes[name], self.random.randrange(1, 1 << 40)
         if name in self.names:
-            return Node("sized", consensus.blank(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, coordinator)
+            return Node(
+                "sized", consensus.blank_register(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, coordinator
+            )
         return Follower("sized", name, nonce, self.votes, self.now, self.length, coordinator)
 
     def acting(self) -> str | None:
--- a/fieldspur/fleet/consensus.py
+++ b/fieldspur/fleet/consensus.py
@@ -48,7 +48,7 @@
     founding: tuple = ()  # the nonces of all, where an operator said that there has been no fleet before
 
 
-def blank(member: int, members: int, nonce: int) -> Register:
+def blank_register(member: int, members: int, nonce: int) -> Register:
     """A member that knows nothing, at its first start or after it lost its memory."""
     return Register(member, nonce, ((0, 0),) * members, (0,) * members)
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -119,7 +119,7 @@
         )
         self.coordinator.requests, self.coordinator.left_members = parse_requests(wishes.work, "fleet.work"), list(wishes.left)
         if votes:
-            register = consensus.resume(kept, nonce) if kept is not None else consensus.blank(me, many, nonce)
+            register = consensus.resume(kept, nonce) if kept is not None else consensus.blank_register(me, many, nonce)
             self.node = Node(wishes.name, register, many, now(), length, seed, kept is None, self.coordinator)
             self.coordinator.update_document(register.decided.value)
             kept = register if kept is not None else None  # as this process takes it up: what fails to be kept falls back to it
@@ -371,7 +371,7 @@
         register = (
             self.node.register
             if self.votes
-            else consensus.blank(0, len(self.names), self.node.nonce)._replace(life=1, decided=self.node.decided)
+            else consensus.blank_register(0, len(self.names), self.node.nonce)._replace(life=1, decided=self.node.decided)
         )
         if register == self.kept:
             return
@@ -382,7 +382,7 @@
             self.kept, self.failed = register, False
         except NotKept as wrong:
             if self.votes:
-                self.node.register = self.kept or consensus.blank(register.member, len(self.names), register.nonce)
+                self.node.register = self.kept or consensus.blank_register(register.member, len(self.names), register.nonce)
             if not self.failed:
                 log.error("not_kept", extra={"kv": {"why": str(wrong)}})
             self.failed = True
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -55,7 +55,9 @@
         nonce = self.random.randrange(1, 1 << 40)
         if n >= self.settle:
             return Follower("valley", f"r{n}", nonce, self.settle, self.now, LENGTH, self.coordinator(n))
-        return Node("valley", consensus.blank(n, self.settle, nonce), self.settle, self.now, LENGTH, nonce, True, self.coordinator(n))
+        return Node(
+            "valley", consensus.blank_register(n, self.settle, nonce), self.settle, self.now, LENGTH, nonce, True, self.coordinator(n)
+        )
 
     def coordinator(self, n):
         return Entries()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -5,12 +5,12 @@
 import pytest
 
 from fieldspur.fleet import consensus
-from fieldspur.fleet.consensus import NO_STAMP, blank
+from fieldspur.fleet.consensus import NO_STAMP, blank_register
 
 
 def founded(members=3):
     """Registers just after an operator founded a fleet, and views in which each has read all."""
-    state = [blank(n, members, n + 1) for n in range(members)]
+    state = [blank_register(n, members, n + 1) for n in range(members)]
     for _ in range(4):
         state = [consensus.step(one, state) for one in state]
         if state[0].founding == ():
@@ -49,7 +49,7 @@
             left = asks_left[:n] + (asks_left[n] - 1,) + asks_left[n + 1 :]
             yield taken(state, views, n, consensus.ask(me), views[n], left, crashes_left, nonce, decided, follow)
         if crashes_left:
-            new = blank(n, members, nonce)
+            new = blank_register(n, members, nonce)
             sees = (None,) * n + (new,) + (None,) * (members - n - 1)
             yield (
                 state[:n] + (new,) + state[n + 1 :],
@@ -111,7 +111,7 @@
     def forgets(self, n):
         self.nonce += 1
         self.views[n] = [None] * len(self.state)
-        self.take(n, blank(n, len(self.state), self.nonce))
+        self.take(n, blank_register(n, len(self.state), self.nonce))
 
     def comes_back(self, n, *others):
         for _ in range(3):
@@ -237,14 +237,14 @@
 
 
 def test_a_fleet_begins_by_an_operators_word_only_and_only_with_all_there():
-    state = [blank(n, 3, n + 1) for n in range(3)]
+    state = [blank_register(n, 3, n + 1) for n in range(3)]
     with pytest.raises(ValueError, match="missing: 1, 2"):
         consensus.found(state[0], [state[0], None, None])
     for _ in range(5):
         state = [consensus.step(one, state) for one in state]
     assert not any(one.life for one in state)  # nobody said it
     state[1] = consensus.found(state[1], state)
-    other = blank(2, 3, 77)  # restarts meanwhile: the word was for another process
+    other = blank_register(2, 3, 77)  # restarts meanwhile: the word was for another process
     state = [consensus.step(one, [state[0], state[1], other]) for one in (state[0], state[1], other)]
     for _ in range(5):
         state = [consensus.step(one, state) for one in state]
--- a/tests/test_fleet_lease.py
+++ b/tests/test_fleet_lease.py
@@ -6,7 +6,7 @@
 from test_fleet import founded
 
 from fieldspur.fleet import consensus
-from fieldspur.fleet.consensus import NO_BALLOT, blank
+from fieldspur.fleet.consensus import NO_BALLOT, blank_register
 from fieldspur.fleet.lease import MOST_TICKS, Backs, Lease
 
 MS = 1_000_000
@@ -44,7 +44,7 @@
             now, n = me.now(true), me.n
             if chance.random() < forget:
                 nonce += 1
-                me.register, me.views, me.said = blank(n, members, nonce), [None] * members, [None] * members
+                me.register, me.views, me.said = blank_register(n, members, nonce), [None] * members, [None] * members
                 me.lease, me.tick = Lease(n, LENGTH, began=now if began else 0), (NO_BALLOT, 0)
             for other in all_:
                 if other is me or (other.n, n) in cut or true < other.stopped_until or chance.random() < 0.6:
--- a/tests/test_fleet_search.py
+++ b/tests/test_fleet_search.py
@@ -68,7 +68,7 @@
                 True,
             )
             one.mark_applied(one.document.number, {"c0": 0} if one.document.number else {})
-            register = consensus.blank(n, 3, self.nonces[n])._replace(
+            register = consensus.blank_register(n, 3, self.nonces[n])._replace(
                 life=1,
                 decided=consensus.StampedValue(
                     (1, 0, self.number(n)), register_codec.freeze(work_orders.document_value(self.documents[self.number(n)]))
@@ -179,7 +179,7 @@
 
     def publish_one(self):
         one = self.members[ROUTER]
-        self.lines[ROUTER] = (one.line(), consensus.blank(ROUTER, 3, self.nonces[ROUTER]))
+        self.lines[ROUTER] = (one.line(), consensus.blank_register(ROUTER, 3, self.nonces[ROUTER]))
 
     def another(self):
         """The lease of who acts has ended; what it published last may still be read. The next begins by what was decided."""
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -100,7 +100,9 @@
 
 def line(number, *orders, member=0, ended=()):
     value = register_codec.freeze(work_orders.document_value(work_orders.WorkDocument(number, tuple(orders), ended)))
-    register = consensus.blank(member, 3, 5)._replace(life=1, promised=(1, 0), decided=consensus.StampedValue((1, 0, number), value))
+    register = consensus.blank_register(member, 3, 5)._replace(
+        life=1, promised=(1, 0), decided=consensus.StampedValue((1, 0, number), value)
+    )
     return json.loads(json.dumps({"register": register_codec.encode_register(register)}))
 
 
