--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -81,11 +81,11 @@
         )
         self.talk = None
         if overlay is not None:
-            from fieldspur.fleet.transport import NotKept, Talk
+            from fieldspur.fleet.transport import StoreFailed, Talk
 
             try:
                 self.talk = Talk(wishes.fleet, node.name, node.seed, overlay)
-            except NotKept as wrong:
+            except StoreFailed as wrong:
                 raise BadFile(f"fleet.folder: {wrong}") from None
             except OSError as wrong:
                 raise BadFile(f"fleet.members.{node.name}: {wrong.strerror}") from None
--- a/fieldspur/fleet/register_store.py
+++ b/fieldspur/fleet/register_store.py
@@ -20,7 +20,7 @@
 FILE = "fleet.sqlite3"
 
 
-class NotKept(OSError):
+class StoreFailed(OSError):
     """What was to be kept is not; the member must not say it. The text says why."""
 
 
@@ -28,7 +28,7 @@
     return hashlib.sha256(f"{fleet}\n{member}\n{text}".encode()).hexdigest()
 
 
-class NotRead(NotKept):
+class NotRead(StoreFailed):
     """What was kept can't be read now: neither spoilt nor forgotten. It is to be asked for again."""
 
 
@@ -39,7 +39,7 @@
 
 
 class Store:
-    """In `folder`, of one member of the fleet named so. Raises NotKept where there is no such folder."""
+    """In `folder`, of one member of the fleet named so. Raises StoreFailed where there is no such folder."""
 
     def __init__(self, folder: str | Path, fleet: str, member: int, members: int):
         self.fleet, self.member, self.members = fleet, member, members
@@ -48,7 +48,7 @@
         try:
             os.listdir(folder)
         except (FileNotFoundError, NotADirectoryError) as wrong:
-            raise NotKept(f"{folder}: {wrong.strerror}") from None
+            raise StoreFailed(f"{folder}: {wrong.strerror}") from None
         except OSError:
             pass  # it is there, and `load` tells more
 
@@ -99,7 +99,7 @@
             return None
 
     def keep(self, register: Register) -> None:
-        """It is on disk when this comes back; raises NotKept, and then what was kept before still is."""
+        """It is on disk when this comes back; raises StoreFailed, and then what was kept before still is."""
         body = json.dumps(register_codec.encode_register(register), separators=(",", ":"))
         try:
             if self.base is None:
@@ -109,7 +109,7 @@
                 (self.fleet, self.member, body, checksum(self.fleet, self.member, body)),
             )
         except sqlite3.Error as wrong:  # full, read-only, spoilt meanwhile
-            raise NotKept(f"{self.path}: {wrong}") from None
+            raise StoreFailed(f"{self.path}: {wrong}") from None
 
     def close(self) -> None:
         if self.base is not None:
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -17,7 +17,7 @@
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.list_overlay import ServerListOverlay
 from fieldspur.fleet.member import Node
-from fieldspur.fleet.register_store import NotKept, NotRead, Store
+from fieldspur.fleet.register_store import NotRead, Store, StoreFailed
 from fieldspur.fleet.work_requests import parse_requests
 from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import contained_errors, keep_running
@@ -92,7 +92,7 @@
 
 
 class Talk:
-    """A member with its threads. `overlay` shows the router what is out. Raises NotKept where its folder can't be used, OSError
+    """A member with its threads. `overlay` shows the router what is out. Raises StoreFailed where its folder can't be used, OSError
     where it can't listen."""
 
     def __init__(self, wishes: Fleet, own: str, seed: int, overlay: ServerListOverlay):
@@ -158,13 +158,13 @@
     # What was kept.
 
     def load(self) -> consensus.Register | None:
-        """What the store holds. Raises NotRead where that can't be told now, NotKept where it is of another version."""
+        """What the store holds. Raises NotRead where that can't be told now, StoreFailed where it is of another version."""
         kept = self.store.load()
         try:
             for said in (kept.accepted, kept.said, kept.decided) if kept is not None else ():
                 work_orders.read_document(said.value)
         except work_orders.BadOrder as wrong:
-            raise NotKept(f"what was kept is of another version: {wrong}") from None
+            raise StoreFailed(f"what was kept is of another version: {wrong}") from None
         return kept
 
     def kept_at_start(self) -> consensus.Register | None:
@@ -177,7 +177,7 @@
             self.not_read(wrong)
             return None
 
-    def not_read(self, wrong: NotKept) -> None:
+    def not_read(self, wrong: StoreFailed) -> None:
         if str(wrong) != self.unread:
             self.unread = str(wrong)
             log.error("not_read", extra={"kv": {"why": self.unread}})
@@ -187,7 +187,7 @@
         hears and goes by. Nothing is written meanwhile."""
         try:
             kept = self.load()
-        except NotKept as wrong:
+        except StoreFailed as wrong:
             return self.not_read(wrong)
         with self.lock:
             if kept is not None:
@@ -380,7 +380,7 @@
         try:
             self.store.keep(register)
             self.kept, self.failed = register, False
-        except NotKept as wrong:
+        except StoreFailed as wrong:
             if self.votes:
                 self.node.register = self.kept or consensus.blank_register(register.member, len(self.names), register.nonce)
             if not self.failed:
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -9,7 +9,7 @@
 from helpers import until
 from test_fleet_store import register
 
-from fieldspur.fleet.register_store import FILE, NotKept, Store
+from fieldspur.fleet.register_store import FILE, Store, StoreFailed
 
 TORN = """
 import os, sqlite3, sys
@@ -104,7 +104,7 @@
             pass
 
     base, store.base = store.base, Failing()
-    with pytest.raises(NotKept):
+    with pytest.raises(StoreFailed):
         store.load()
     store.base = base
     assert store.load() == register(3) and not list(tmp_path.glob("*.spoilt"))
--- a/tests/test_fleet_store.py
+++ b/tests/test_fleet_store.py
@@ -12,7 +12,7 @@
 from test_fleet import founded
 
 from fieldspur.fleet import consensus, register_codec
-from fieldspur.fleet.register_store import FILE, NotKept, Store
+from fieldspur.fleet.register_store import FILE, Store, StoreFailed
 
 
 def register(round_=3, value=("out", "c1")):
@@ -96,7 +96,7 @@
     store.keep(register(2))
     pages = store.base.execute("pragma page_count").fetchone()[0]
     store.base.execute(f"pragma max_page_count = {pages}")
-    with pytest.raises(NotKept, match="full"):
+    with pytest.raises(StoreFailed, match="full"):
         store.keep(register(3, "x" * 100_000))
     assert store.load() == register(2)
     store.base.execute("pragma max_page_count = 100000")
@@ -108,7 +108,7 @@
     store = Store(tmp_path, "valley", 1, 3)
     store.keep(register(2))
     store.base.execute("pragma query_only = on")
-    with pytest.raises(NotKept):
+    with pytest.raises(StoreFailed):
         store.keep(register(3))
     assert store.load() == register(2)
 
@@ -142,5 +142,5 @@
 
 
 def test_a_folder_that_is_not_there_is_named(tmp_path):
-    with pytest.raises(NotKept, match="nowhere"):
+    with pytest.raises(StoreFailed, match="nowhere"):
         Store(tmp_path / "nowhere", "valley", 1, 3)
