--- a/fieldspur/fleet/register_store.py
+++ b/fieldspur/fleet/register_store.py
@@ -28,7 +28,7 @@
     return hashlib.sha256(f"{fleet}\n{member}\n{text}".encode()).hexdigest()
 
 
-class NotRead(StoreFailed):
+class StoreUnreadable(StoreFailed):
     """What was kept can't be read now: neither spoilt nor forgotten. It is to be asked for again."""
 
 
@@ -70,10 +70,10 @@
             self.open()
         except (OSError, sqlite3.Error) as wrong:
             self.close()
-            raise NotRead(f"{self.path}: {wrong}") from None
+            raise StoreUnreadable(f"{self.path}: {wrong}") from None
 
     def load(self) -> Register | None:
-        """What was kept last; None where nothing was, or what is there is not whole. Raises NotRead where that can't be told now. Guards
+        """What was kept last; None where nothing was, or what is there is not whole. Raises StoreUnreadable where that can't be told now. Guards
         against a disk that fails for a while: sqlite rolls back what a kill left half written before it reads, and can't then."""
         try:
             if self.base is None:
@@ -82,7 +82,7 @@
         except sqlite3.Error as wrong:
             if passes(wrong):
                 self.close()
-                raise NotRead(f"{self.path}: {wrong}") from None
+                raise StoreUnreadable(f"{self.path}: {wrong}") from None
             self.set_aside(str(wrong))
             return None
         if row is None:
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -17,7 +17,7 @@
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.list_overlay import ServerListOverlay
 from fieldspur.fleet.member import Node
-from fieldspur.fleet.register_store import NotRead, Store, StoreFailed
+from fieldspur.fleet.register_store import Store, StoreFailed, StoreUnreadable
 from fieldspur.fleet.work_requests import parse_requests
 from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import contained_errors, keep_running
@@ -158,7 +158,7 @@
     # What was kept.
 
     def load(self) -> consensus.Register | None:
-        """What the store holds. Raises NotRead where that can't be told now, StoreFailed where it is of another version."""
+        """What the store holds. Raises StoreUnreadable where that can't be told now, StoreFailed where it is of another version."""
         kept = self.store.load()
         try:
             for said in (kept.accepted, kept.said, kept.decided) if kept is not None else ():
@@ -173,7 +173,7 @@
             return None
         try:
             return self.load()
-        except NotRead as wrong:
+        except StoreUnreadable as wrong:
             self.not_read(wrong)
             return None
 
