--- a/fieldspur/fleet/lease.py
+++ b/fieldspur/fleet/lease.py
@@ -14,7 +14,7 @@
 
 from fieldspur.fleet.consensus import NO_BALLOT, Ballot, majority
 
-MOST_TICKS = 64  # published and not yet said back; older ones count for nothing
+MAX_PENDING_TICKS = 64  # published and not yet said back; older ones count for nothing
 
 
 class Backs(NamedTuple):
@@ -49,7 +49,7 @@
             self.ballot, self.told = ballot, {}
         self.tick += 1
         self.told[self.tick] = now
-        while len(self.told) > MOST_TICKS:
+        while len(self.told) > MAX_PENDING_TICKS:
             del self.told[min(self.told)]
         self.read(ballot, self.tick, now)
         return self.tick
--- a/fieldspur/fleet/list_lease.py
+++ b/fieldspur/fleet/list_lease.py
@@ -13,7 +13,7 @@
 
 from __future__ import annotations
 
-from fieldspur.fleet.lease import MOST_TICKS
+from fieldspur.fleet.lease import MAX_PENDING_TICKS
 
 
 class ListLease:
@@ -28,7 +28,7 @@
         """Returns the count for the line that is published now."""
         self.count += 1
         self.published_at[self.count] = now
-        while len(self.published_at) > MOST_TICKS:
+        while len(self.published_at) > MAX_PENDING_TICKS:
             del self.published_at[min(self.published_at)]
         return self.count
 
--- a/tests/test_fleet_lease.py
+++ b/tests/test_fleet_lease.py
@@ -7,7 +7,7 @@
 
 from fieldspur.fleet import consensus
 from fieldspur.fleet.consensus import NO_BALLOT, blank_register
-from fieldspur.fleet.lease import MOST_TICKS, Backs, Lease
+from fieldspur.fleet.lease import MAX_PENDING_TICKS, Backs, Lease
 
 MS = 1_000_000
 LENGTH = 1000 * MS
@@ -111,9 +111,9 @@
 
 def test_ticks_that_nobody_says_back_are_forgotten_in_time():
     lease = Lease(0, LENGTH)
-    for now in range(3 * MOST_TICKS):
+    for now in range(3 * MAX_PENDING_TICKS):
         lease.publish((1, 0), now)
-    assert len(lease.told) == MOST_TICKS
+    assert len(lease.told) == MAX_PENDING_TICKS
     assert lease.until([None, Backs((1, 0), 1), Backs((1, 0), 1)]) == 0
 
 
