--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -9,7 +9,7 @@
 from fieldspur.fleet.consensus import Register, StampedValue
 from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.failure_detector import Members
-from fieldspur.fleet.member import BEATS, Node, caught_up, may_be, same_fleet
+from fieldspur.fleet.member import BEATS_PER_LEASE, Node, caught_up, may_be, same_fleet
 
 
 class Follower:
@@ -29,7 +29,7 @@
         kept: StampedValue | None = None,
     ):
         self.fleet, self.name, self.nonce, self.coordinator = fleet, name, nonce, coordinator
-        self.beat = length // BEATS
+        self.beat = length // BEATS_PER_LEASE
         self.views: list = [None] * members
         self.raw: list = [(None, None)] * members
         self.members = Members(-1, members, now, self.beat, self.beat // 4)
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -11,7 +11,7 @@
 from fieldspur.fleet.failure_detector import Members
 from fieldspur.fleet.lease import Backs, Lease
 
-BEATS = 6  # ticks of its holder within a lease
+BEATS_PER_LEASE = 6  # ticks of its holder within a lease
 
 
 def same_fleet(fleet: str, value: dict) -> None:
@@ -47,7 +47,7 @@
     def __init__(self, fleet: str, register: Register, members: int, now: int, length: int, seed: int, forgot: bool, coordinator=None):
         """`coordinator` says what this member tells the others and what follows on an agreed value; without one nothing does."""
         self.fleet, self.register, self.me, self.coordinator = fleet, register, register.member, coordinator
-        self.beat, self.random = length // BEATS, random.Random(seed)
+        self.beat, self.random = length // BEATS_PER_LEASE, random.Random(seed)
         self.views: list = [None] * members
         self.raw: list = [(None, None)] * members  # the register each said last, as it came and as it was read
         self.said: list = [None] * members
