--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -9,7 +9,7 @@
 from fieldspur.fleet.consensus import Register, StampedValue
 from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.failure_detector import Members
-from fieldspur.fleet.member import BEATS_PER_LEASE, Node, caught_up, may_be, same_fleet
+from fieldspur.fleet.member import BEATS_PER_LEASE, Node, has_majority_view, may_be, same_fleet
 
 
 class Follower:
@@ -73,7 +73,7 @@
     def knows(self) -> bool:
         """It is counted, and knows as much of what is out as any process of it before may have said that it goes by; or there is no
         fleet yet."""
-        remembers = self.resumed or caught_up(self.views)
+        remembers = self.resumed or has_majority_view(self.views)
         return remembers and self.coordinator.is_counted() or not self.founded()
 
     def line(self) -> dict:
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -28,7 +28,7 @@
     coordinator.receive_line(value, name, register_codec.whole_number(value.get("nonce"), "nonce", 1), own_nonce)
 
 
-def caught_up(views: list, me: int = -1) -> bool:
+def has_majority_view(views: list, me: int = -1) -> bool:
     """A majority of those that settle was heard, or all there are: what one of them has taken over is as late as any document that was
     decided. Guards against a process without memory that hears one that lags, while its life before had said that it goes by a
     later document: who acts may count on that word, and a machine go that this process would use."""
@@ -160,7 +160,7 @@
 
     def knows(self) -> bool:
         """This process knows as much of what is out as any before it may have said that it goes by."""
-        return self.register.life > 0 or not self.founded() or caught_up(self.views, self.me)
+        return self.register.life > 0 or not self.founded() or has_majority_view(self.views, self.me)
 
     def pause(self) -> int:
         """So long a member waits with a ballot of its own: by chance, over more beats the more members there are."""
