--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -9,7 +9,7 @@
 from fieldspur.fleet.consensus import Register, StampedValue
 from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.failure_detector import Members
-from fieldspur.fleet.member import BEATS_PER_LEASE, Node, has_majority_view, may_be, same_fleet
+from fieldspur.fleet.member import BEATS_PER_LEASE, Node, has_majority_view, possibly_decided, same_fleet
 
 
 class Follower:
@@ -62,7 +62,7 @@
 
     def tick(self, now: int) -> None:
         self.members.looked(now)
-        self.coordinator.tick(now, False, [], (), self.founded(), may_be(self.views))
+        self.coordinator.tick(now, False, [], (), self.founded(), possibly_decided(self.views))
 
     def acts(self, now: int) -> bool:
         return False
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -36,7 +36,7 @@
     return len(alive) >= consensus.majority(len(views)) or bool(alive) and all(one is not None for n, one in enumerate(views) if n != me)
 
 
-def may_be(views: list) -> list:
+def possibly_decided(views: list) -> list:
     """Values that are decided, or that may be, as far as is known here."""
     return [said.value for one in views if one is not None and one.life for said in (one.accepted, one.decided)]
 
@@ -173,7 +173,7 @@
         if self.coordinator is not None:
             said = (self.known(), self.register.accepted, self.register.said)
             self.coordinator.tick(
-                now, self.acts(now), [one.value for one in said], self.members.suspected(now), self.founded(), may_be(self.seen())
+                now, self.acts(now), [one.value for one in said], self.members.suspected(now), self.founded(), possibly_decided(self.seen())
             )
         if self.fenced or not self.register.life:
             return
