--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -9,7 +9,7 @@
 from fieldspur.fleet.consensus import Register, StampedValue
 from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.failure_detector import Members
-from fieldspur.fleet.member import BEATS_PER_LEASE, Node, has_majority_view, possibly_decided, same_fleet
+from fieldspur.fleet.member import BEATS_PER_LEASE, Node, check_fleet, has_majority_view, possibly_decided
 
 
 class Follower:
@@ -47,7 +47,7 @@
 
     def heard(self, member: int, value: dict, now: int) -> None:
         """A line of one that settles; raises BadLine where it is none, or of another fleet."""
-        same_fleet(self.fleet, value)
+        check_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
         self.coordinator.receive_line(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
         self.views[member] = register
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -14,7 +14,7 @@
 BEATS_PER_LEASE = 6  # ticks of its holder within a lease
 
 
-def same_fleet(fleet: str, value: dict) -> None:
+def check_fleet(fleet: str, value: dict) -> None:
     """Raises BadLine where a line is of another."""
     if value.get("fleet") != fleet:
         raise register_codec.BadLine(f"fleet: {str(value.get('fleet'))[:40]}")
@@ -22,7 +22,7 @@
 
 def follower_line(fleet: str, name: str, value: dict, coordinator, own_nonce: int) -> None:
     """Takes a follower's line, or raises BadLine."""
-    same_fleet(fleet, value)
+    check_fleet(fleet, value)
     if value.get("follower") != name:
         raise register_codec.BadLine(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
     coordinator.receive_line(value, name, register_codec.whole_number(value.get("nonce"), "nonce", 1), own_nonce)
@@ -71,7 +71,7 @@
 
     def heard(self, member: int, value: dict, now: int) -> None:
         """A line of that member; raises BadLine where it is none, or of another fleet."""
-        same_fleet(self.fleet, value)
+        check_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
         backs, tick = (register_codec.ticked(value.get(name), name) for name in ("backs", "tick"))
         if self.coordinator is not None:
