--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -13,7 +13,7 @@
 from fieldspur.fleet import consensus, planner, work_orders
 from fieldspur.fleet.coordinator import HEALTHY, SLOW_START, Coordinator, without_loads
 from fieldspur.fleet.follower import Follower
-from fieldspur.fleet.member import Node
+from fieldspur.fleet.member import Member
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LONGEST, WARM = 8 * SECOND, 6 * SECOND
@@ -54,7 +54,7 @@
         coordinator = Coordinator(self.names, name, self.zone(name), self.length, BOUNDS, False, LONGEST, WARM)
         coordinator.requests, nonce = self.wishes[name], self.random.randrange(1, 1 << 40)
         if name in self.names:
-            return Node(
+            return Member(
                 "sized", consensus.blank_register(n, self.votes, nonce), self.votes, self.now, self.length, nonce, True, coordinator
             )
         return Follower("sized", name, nonce, self.votes, self.now, self.length, coordinator)
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -9,11 +9,11 @@
 from fieldspur.fleet.consensus import Register, StampedValue
 from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.failure_detector import Members
-from fieldspur.fleet.member import BEATS_PER_LEASE, Node, check_fleet, has_majority_view, possibly_decided
+from fieldspur.fleet.member import BEATS_PER_LEASE, Member, check_fleet, has_majority_view, possibly_decided
 
 
 class Follower:
-    """Stands where a Node does. `members`: how many settle; `kept`: the document that it went by when it ended."""
+    """Stands where a Member does. `members`: how many settle; `kept`: the document that it went by when it ended."""
 
     fenced = False
 
@@ -43,7 +43,7 @@
             self.decided = kept.decided
             self.coordinator.update_document(self.decided.value)
 
-    register_of = Node.register_of
+    register_of = Member.register_of
 
     def heard(self, member: int, value: dict, now: int) -> None:
         """A line of one that settles; raises BadLine where it is none, or of another fleet."""
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -41,7 +41,7 @@
     return [said.value for one in views if one is not None and one.life for said in (one.accepted, one.decided)]
 
 
-class Node:
+class Member:
     """`register` is what was kept, or blank. `length` ns is a lease's; all members have the same, and the same `fleet`."""
 
     def __init__(self, fleet: str, register: Register, members: int, now: int, length: int, seed: int, forgot: bool, coordinator=None):
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -16,7 +16,7 @@
 from fieldspur.fleet.coordinator import Coordinator, without_loads
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.list_overlay import ServerListOverlay
-from fieldspur.fleet.member import Node
+from fieldspur.fleet.member import Member
 from fieldspur.fleet.register_store import Store, StoreFailed, StoreUnreadable
 from fieldspur.fleet.work_requests import parse_requests
 from fieldspur.net.discovery import DiscoveryClient
@@ -120,7 +120,7 @@
         self.coordinator.requests, self.coordinator.left_members = parse_requests(wishes.work, "fleet.work"), list(wishes.left)
         if votes:
             register = consensus.resume(kept, nonce) if kept is not None else consensus.blank_register(me, many, nonce)
-            self.node = Node(wishes.name, register, many, now(), length, seed, kept is None, self.coordinator)
+            self.node = Member(wishes.name, register, many, now(), length, seed, kept is None, self.coordinator)
             self.coordinator.update_document(register.decided.value)
             kept = register if kept is not None else None  # as this process takes it up: what fails to be kept falls back to it
         else:
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -6,7 +6,7 @@
 from fieldspur.fleet import consensus, planner, work_orders
 from fieldspur.fleet.coordinator import Coordinator
 from fieldspur.fleet.follower import Follower
-from fieldspur.fleet.member import Node
+from fieldspur.fleet.member import Member
 
 MS, SECOND = 1_000_000, 1_000_000_000
 LENGTH = 1500 * MS
@@ -55,7 +55,7 @@
         nonce = self.random.randrange(1, 1 << 40)
         if n >= self.settle:
             return Follower("valley", f"r{n}", nonce, self.settle, self.now, LENGTH, self.coordinator(n))
-        return Node(
+        return Member(
             "valley", consensus.blank_register(n, self.settle, nonce), self.settle, self.now, LENGTH, nonce, True, self.coordinator(n)
         )
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -45,7 +45,7 @@
     "ServerListOverlay.set_usage_check = lambda self, doubt: None\n",
     "free too early": "from fieldspur.fleet.coordinator import Coordinator\nCoordinator.members_with_open_hops = lambda *about: []\n",
     "no bounds": "from fieldspur.fleet.planner import MachinePool\nMachinePool.violated_bound = lambda *about: ''\n",
-    "two documents": "from fieldspur.fleet.member import Node\nline = Node.line\n"
+    "two documents": "from fieldspur.fleet.member import Member\nline = Member.line\n"
     "def other(self):\n    found = line(self)\n    value = found['register']['decided'][1]\n"
     "    if value and not self.coordinator.is_active:\n"
     "        found['register']['decided'][1] = (value[0], tuple((*o[:-1], 'mine') for o in value[1]), value[2])\n"
