--- a/fieldspur/fleet/failure_detector.py
+++ b/fieldspur/fleet/failure_detector.py
@@ -49,7 +49,7 @@
         return -math.log10(later) if later > 0 else 300.0
 
 
-class Members:
+class FailureDetector:
     """All others: those that settle by number, those that follow by name. `expected` ns lie between two lines of one, `look` ns between
     two calls of `looked`."""
 
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -8,7 +8,7 @@
 from fieldspur.fleet import consensus
 from fieldspur.fleet.consensus import Register, StampedValue
 from fieldspur.fleet.coordinator import Coordinator
-from fieldspur.fleet.failure_detector import Members
+from fieldspur.fleet.failure_detector import FailureDetector
 from fieldspur.fleet.member import BEATS_PER_LEASE, Member, check_fleet, has_majority_view, possibly_decided
 
 
@@ -32,7 +32,7 @@
         self.beat = length // BEATS_PER_LEASE
         self.views: list = [None] * members
         self.raw: list = [(None, None)] * members
-        self.members = Members(-1, members, now, self.beat, self.beat // 4)
+        self.members = FailureDetector(-1, members, now, self.beat, self.beat // 4)
         self.resumed, self.decided = kept is not None, kept or consensus.NO_VALUE
         coordinator.update_document(self.decided.value)
 
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -8,7 +8,7 @@
 
 from fieldspur.fleet import consensus, register_codec
 from fieldspur.fleet.consensus import NO_BALLOT, Register, StampedValue
-from fieldspur.fleet.failure_detector import Members
+from fieldspur.fleet.failure_detector import FailureDetector
 from fieldspur.fleet.lease import Backs, Lease
 
 BEATS_PER_LEASE = 6  # ticks of its holder within a lease
@@ -54,7 +54,7 @@
         self.ticks: list = [(NO_BALLOT, 0)] * members
         self.now = now
         self.lease = Lease(self.me, length, began=now, forgot=forgot)
-        self.members = Members(self.me, members, now, self.beat, self.beat // 4)
+        self.members = FailureDetector(self.me, members, now, self.beat, self.beat // 4)
         self.ticked = 0
         self.ask_at = now + length
         self.fenced = False
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -6,7 +6,7 @@
 from simulated_fleet import LENGTH, MS, World
 
 from fieldspur.fleet import register_codec
-from fieldspur.fleet.failure_detector import SUSPECT, Heard, Members
+from fieldspur.fleet.failure_detector import SUSPECT, FailureDetector, Heard
 
 
 def test_phi_grows_with_silence_and_a_steady_member_is_suspected_sooner_than_a_fitful_one():
@@ -29,7 +29,7 @@
     before = list(one.intervals)
     one.line(6, 60_000 * MS)
     assert list(one.intervals) == before
-    members = Members(0, 2, 0, 250 * MS, 60 * MS)
+    members = FailureDetector(0, 2, 0, 250 * MS, 60 * MS)
     for n in range(1, 100):
         members.looked(n * 60 * MS)
         if n % 4 == 0:
