--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -81,10 +81,10 @@
         )
         self.talk = None
         if overlay is not None:
-            from fieldspur.fleet.transport import StoreFailed, Talk
+            from fieldspur.fleet.transport import StoreFailed, Transport
 
             try:
-                self.talk = Talk(wishes.fleet, node.name, node.seed, overlay)
+                self.talk = Transport(wishes.fleet, node.name, node.seed, overlay)
             except StoreFailed as wrong:
                 raise BadFile(f"fleet.folder: {wrong}") from None
             except OSError as wrong:
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -42,7 +42,7 @@
 class Peer(DiscoveryClient):
     """Another member's lines, by the board's reader. `number` among those that settle, or the name of one that follows."""
 
-    def __init__(self, talk: Talk, number: int | str, where: tuple[str, int], seed: int):
+    def __init__(self, talk: Transport, number: int | str, where: tuple[str, int], seed: int):
         super().__init__(where, self, seed)
         self.talk, self.number, self.unusable = talk, number, 0
         self.name = number if isinstance(number, str) else talk.names[number]
@@ -91,7 +91,7 @@
             self.talk.alive(self.number)
 
 
-class Talk:
+class Transport:
     """A member with its threads. `overlay` shows the router what is out. Raises StoreFailed where its folder can't be used, OSError
     where it can't listen."""
 
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -75,7 +75,7 @@
 
 def test_a_first_write_that_fails_after_a_restart_does_not_bring_the_process_before_back(routers):
     """Found by reading, and seen in all three members' lines: while disks failed they published the number (nonce) of the process before.
-    `Talk.keep` fell back to the register as it was read from the disk, with that one's ballot and proposal, under which others may still
+    `Transport.keep` fell back to the register as it was read from the disk, with that one's ballot and proposal, under which others may still
     count it as who acts. Now it falls back to the register as this process took it up (`agree.resume`)."""
     fleet = routers(3, disk=True, failing=True)
     fleet.found()
