--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,7 +3,7 @@
 import known_red
 import pytest
 from helpers import Service
-from router_processes import Routers
+from router_processes import RouterProcesses
 
 KNOWN_RED = known_red.listed()
 
@@ -46,7 +46,7 @@
     made = []
 
     def make(*about, **more):
-        made.append(Routers(tmp_path, *about, **more))
+        made.append(RouterProcesses(tmp_path, *about, **more))
         return made[-1]
 
     yield make
--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -15,7 +15,7 @@
 HOST = "127.%d.%d.2" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # else a link may connect to itself
 
 
-class Routers:
+class RouterProcesses:
     """`many` processes; member a reads member b through a link of its own. `failing`: their system calls can be made to fail (`shims`)."""
 
     def __init__(self, folder, many, disk=False, caches=1, failing=False, **fleet):
