--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -118,7 +118,7 @@
                 began = time.process_time()
                 value = json.loads(line)
                 if name in self.names:
-                    member.heard(self.names.index(name), value, self.now)
+                    member.receive_line(self.names.index(name), value, self.now)
                 else:
                     member.heard_follower(name, value, self.now)
                 cost.cpu += time.process_time() - began
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -45,7 +45,7 @@
 
     register_of = Member.register_of
 
-    def heard(self, member: int, value: dict, now: int) -> None:
+    def receive_line(self, member: int, value: dict, now: int) -> None:
         """A line of one that settles; raises BadLine where it is none, or of another fleet."""
         check_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -69,7 +69,7 @@
 
     # What comes in.
 
-    def heard(self, member: int, value: dict, now: int) -> None:
+    def receive_line(self, member: int, value: dict, now: int) -> None:
         """A line of that member; raises BadLine where it is none, or of another fleet."""
         check_fleet(self.fleet, value)
         register = self.register_of(member, value.get("register"))
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -205,7 +205,7 @@
             if isinstance(number, str):
                 self.node.heard_follower(number, value, now())
             else:
-                self.node.heard(number, value, now())
+                self.node.receive_line(number, value, now())
             self.keep()
             fresh = self.coordinator.document.number != before
         if fresh:
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -81,7 +81,7 @@
     def read(self, n, m):
         line = json.loads(json.dumps(self.nodes[m].line()))
         if m < self.settle:
-            self.nodes[n].heard(m, line, self.now)
+            self.nodes[n].receive_line(m, line, self.now)
         elif n < self.settle:
             self.nodes[n].heard_follower(f"r{m}", line, self.now)
 
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -171,7 +171,7 @@
     world = World(3, 1)
     line = world.nodes[1].line()
     with pytest.raises(register_codec.BadLine, match=said):
-        world.nodes[0].heard(1, line | change, 0)
+        world.nodes[0].receive_line(1, line | change, 0)
     assert world.nodes[0].views[1] is None and world.nodes[0].said[1] is None
     with pytest.raises(register_codec.BadLine, match="member"):
-        world.nodes[0].heard(2, line, 0)
+        world.nodes[0].receive_line(2, line, 0)
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -498,7 +498,7 @@
     line = yard.nodes[1].line()
     before = dict(yard.nodes[0].coordinator.reports)
     with pytest.raises(ValueError, match=said):
-        yard.nodes[0].heard(1, line | {"work": line["work"] | change}, yard.now)
+        yard.nodes[0].receive_line(1, line | {"work": line["work"] | change}, yard.now)
     assert yard.nodes[0].coordinator.reports == before
 
 
