--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -120,7 +120,7 @@
                 if name in self.names:
                     member.receive_line(self.names.index(name), value, self.now)
                 else:
-                    member.heard_follower(name, value, self.now)
+                    member.receive_follower_line(name, value, self.now)
                 cost.cpu += time.process_time() - began
                 cost.read += len(line)
                 cost.lines += 1
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -98,7 +98,7 @@
         self.raw[member] = raw, register
         return register
 
-    def heard_follower(self, name: str, value: dict, now: int) -> None:
+    def receive_follower_line(self, name: str, value: dict, now: int) -> None:
         """A line of a router that follows; raises BadLine where it is none, or of another fleet."""
         follower_line(self.fleet, name, value, self.coordinator, self.register.nonce)
         self.members.line(name, value["nonce"], now)
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -203,7 +203,7 @@
         with self.lock:
             before = self.coordinator.document.number
             if isinstance(number, str):
-                self.node.heard_follower(number, value, now())
+                self.node.receive_follower_line(number, value, now())
             else:
                 self.node.receive_line(number, value, now())
             self.keep()
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -83,7 +83,7 @@
         if m < self.settle:
             self.nodes[n].receive_line(m, line, self.now)
         elif n < self.settle:
-            self.nodes[n].heard_follower(f"r{m}", line, self.now)
+            self.nodes[n].receive_follower_line(f"r{m}", line, self.now)
 
     def compare(self, agreed):
         assert agreed[: len(self.decided)] == self.decided[: len(agreed)]
