--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -56,7 +56,7 @@
             self.decided = register.decided
             self.coordinator.update_document(self.decided.value)
 
-    def alive(self, member: int, now: int) -> None:
+    def receive_heartbeat(self, member: int, now: int) -> None:
         if self.views[member] is not None:
             self.members.line(member, self.views[member].nonce, now)
 
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -103,7 +103,7 @@
         follower_line(self.fleet, name, value, self.coordinator, self.register.nonce)
         self.members.line(name, value["nonce"], now)
 
-    def alive(self, member, now: int) -> None:
+    def receive_heartbeat(self, member, now: int) -> None:
         """A line of it that tells nothing new. Guards against intervals learned while nothing happened: found with
         processes, where a killed member was followed after 5.4 s of a lease of 1 s."""
         if type(member) is not int:
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -215,7 +215,7 @@
     def alive(self, number: int | str) -> None:
         """Nothing new there, but it is."""
         with self.lock:
-            self.node.alive(number, now())
+            self.node.receive_heartbeat(number, now())
 
     def run(self) -> None:
         looked, fenced = 0.0, False
