--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -142,7 +142,7 @@
 
     def begin(self) -> None:
         self.run(4 * self.length / SECOND)
-        self.members[self.names[0]].found()
+        self.members[self.names[0]].found_fleet()
         self.run(60, lambda: self.acting() is not None and len(self.latest().routers) == len(self.all) - self.votes)
         self.run(2)
 
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -111,7 +111,7 @@
         elif self.views[member] is not None:
             self.members.line(member, self.views[member].nonce, now)
 
-    def found(self) -> None:
+    def found_fleet(self) -> None:
         self.register = consensus.found(self.register, self.seen())
 
     # What follows.
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -358,7 +358,7 @@
                     raise ValueError("this member does not vote")
                 if self.unread:
                     raise ValueError("what this member kept can't be read yet")
-                self.node.found()
+                self.node.found_fleet()
                 self.keep()
             except ValueError as wrong:
                 return log.error("not_founded", extra={"kv": {"why": str(wrong)}})
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -94,7 +94,7 @@
 
     def begin(self):
         self.run(500)
-        self.nodes[0].found()
+        self.nodes[0].found_fleet()
         self.run(5000)
         assert all(node.register.life for node in self.nodes[: self.settle]) and self.acted
 
