--- a/fieldspur/bench/size.py
+++ b/fieldspur/bench/size.py
@@ -60,7 +60,7 @@
         return Follower("sized", name, nonce, self.votes, self.now, self.length, coordinator)
 
     def acting(self) -> str | None:
-        return next((name for name in self.names if self.members[name].acts(self.now)), None)
+        return next((name for name in self.names if self.members[name].is_coordinator(self.now)), None)
 
     def role(self, name: str, acting: str | None) -> str:
         return "acts" if name == acting else "settles" if name in self.names else "follows"
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -64,7 +64,7 @@
         self.members.looked(now)
         self.coordinator.tick(now, False, [], (), self.founded(), possibly_decided(self.views))
 
-    def acts(self, now: int) -> bool:
+    def is_coordinator(self, now: int) -> bool:
         return False
 
     def founded(self) -> bool:
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -148,7 +148,7 @@
 
     def successor(self, value: Any) -> Any:
         """What follows on the agreed value; None where nothing does, or this member does not hold the lease at this moment."""
-        return self.coordinator.next_value(value, self.now) if self.coordinator is not None and self.acts(self.now) else None
+        return self.coordinator.next_value(value, self.now) if self.coordinator is not None and self.is_coordinator(self.now) else None
 
     def known(self) -> StampedValue:
         """The latest that is decided, as far as is known here. What a member learned before it forgot stays decided."""
@@ -173,7 +173,12 @@
         if self.coordinator is not None:
             said = (self.known(), self.register.accepted, self.register.said)
             self.coordinator.tick(
-                now, self.acts(now), [one.value for one in said], self.members.suspected(now), self.founded(), possibly_decided(self.seen())
+                now,
+                self.is_coordinator(now),
+                [one.value for one in said],
+                self.members.suspected(now),
+                self.founded(),
+                possibly_decided(self.seen()),
             )
         if self.fenced or not self.register.life:
             return
@@ -206,7 +211,7 @@
     def leads(self) -> bool:
         return consensus.leads(self.register, self.seen())
 
-    def acts(self, now: int) -> bool:
+    def is_coordinator(self, now: int) -> bool:
         """It holds the lease at this moment; to be asked just before each act."""
         return not self.fenced and self.leads() and self.lease.holds(self.said, now)
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -233,7 +233,7 @@
                 self.coordinator.unix_ms, self.coordinator.listings = time.time_ns() // 1_000_000, self.overlay.listings
                 self.node.tick(now())
                 self.keep()
-                acts = self.node.acts(now())
+                acts = self.node.is_coordinator(now())
             self.apply()
             self.publish()
             if self.votes:
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -72,7 +72,7 @@
                     if m != n and (m, n) not in self.cut and self.random.random() < 0.8:
                         self.read(n, m)
                 self.nodes[n].tick(self.now)
-            acting = [n for n in range(self.members) if n not in self.down and self.nodes[n].acts(self.now)]
+            acting = [n for n in range(self.members) if n not in self.down and self.nodes[n].is_coordinator(self.now)]
             self.most_acting = max(self.most_acting, len(acting))
             self.acted += [n for n in acting if not self.acted or self.acted[-1] != n]
             for node in self.nodes[: self.settle]:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -87,7 +87,7 @@
     world.run(10_000)
     assert world.acted[-1] != first
     world.stopped.clear()
-    assert not world.nodes[first].acts(world.now)
+    assert not world.nodes[first].is_coordinator(world.now)
     world.run(4000)
     assert world.most_acting == 1
     assert len({node.register.promised for node in world.nodes}) == 1  # found with processes: it asked on and followed nobody
@@ -114,7 +114,7 @@
     world.want(4, "out by three")
     world.run(4000)
     assert [[body for _, body in node.agreed() or ()] for node in world.nodes] == [[]] * 2 + [["out by three"]] * 3
-    assert not any(node.acts(world.now) for node in world.nodes[:2])
+    assert not any(node.is_coordinator(world.now) for node in world.nodes[:2])
     world.cut = {(a, b) for a in range(5) for b in range(5) if (a in (0, 4)) != (b in (0, 4))}  # splits otherwise
     world.run(5000)
     world.cut = set()
