--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -215,7 +215,7 @@
         """It holds the lease at this moment; to be asked just before each act."""
         return not self.fenced and self.leads() and self.lease.holds(self.said, now)
 
-    def agreed(self) -> Any:
+    def agreed_value(self) -> Any:
         """The value in force as this member knows it, None before the first."""
         return self.register.decided.value
 
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -76,7 +76,7 @@
             self.most_acting = max(self.most_acting, len(acting))
             self.acted += [n for n in acting if not self.acted or self.acted[-1] != n]
             for node in self.nodes[: self.settle]:
-                self.compare(node.agreed() or ())
+                self.compare(node.agreed_value() or ())
 
     def read(self, n, m):
         line = json.loads(json.dumps(self.nodes[m].line()))
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -45,7 +45,7 @@
     for n in range(5):
         world.want(n, f"out c{n}")
     world.run(3000)
-    assert len({node.agreed() for node in world.nodes}) == 1
+    assert len({node.agreed_value() for node in world.nodes}) == 1
     assert sorted(body for _, body in world.decided) == [f"out c{n}" for n in range(5)]
     assert not any(node.coordinator.wants for node in world.nodes) and world.most_acting == 1
 
@@ -62,7 +62,7 @@
     assert world.acted[-1] != first
     world.start(first)
     world.run(4000)
-    assert world.nodes[first].register.life > 1 and world.nodes[first].agreed() == world.decided != ()
+    assert world.nodes[first].register.life > 1 and world.nodes[first].agreed_value() == world.decided != ()
     assert world.most_acting == 1
 
 
@@ -113,13 +113,13 @@
     world.want(0, "out by two")
     world.want(4, "out by three")
     world.run(4000)
-    assert [[body for _, body in node.agreed() or ()] for node in world.nodes] == [[]] * 2 + [["out by three"]] * 3
+    assert [[body for _, body in node.agreed_value() or ()] for node in world.nodes] == [[]] * 2 + [["out by three"]] * 3
     assert not any(node.is_coordinator(world.now) for node in world.nodes[:2])
     world.cut = {(a, b) for a in range(5) for b in range(5) if (a in (0, 4)) != (b in (0, 4))}  # splits otherwise
     world.run(5000)
     world.cut = set()
     world.run(5000)
-    assert {tuple(body for _, body in node.agreed() or ()) for node in world.nodes} == {("out by three", "out by two")}
+    assert {tuple(body for _, body in node.agreed_value() or ()) for node in world.nodes} == {("out by three", "out by two")}
     assert world.most_acting == 1
 
 
@@ -130,7 +130,7 @@
     world.run(6000)
     world.want(2, "out c2")
     world.run(4000)
-    assert len({node.agreed() for node in world.nodes}) == 1 and world.decided and world.most_acting == 1
+    assert len({node.agreed_value() for node in world.nodes}) == 1 and world.decided and world.most_acting == 1
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -154,7 +154,7 @@
     world.cut, world.stopped = set(), set()
     world.run(12_000)
     assert world.most_acting == 1 and len(world.decided) > 5
-    assert {node.agreed() for node in world.nodes} == {world.decided}
+    assert {node.agreed_value() for node in world.nodes} == {world.decided}
 
 
 @pytest.mark.parametrize(
