--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -62,19 +62,19 @@
 
     def tick(self, now: int) -> None:
         self.members.looked(now)
-        self.coordinator.tick(now, False, [], (), self.founded(), possibly_decided(self.views))
+        self.coordinator.tick(now, False, [], (), self.may_be_founded(), possibly_decided(self.views))
 
     def is_coordinator(self, now: int) -> bool:
         return False
 
-    def founded(self) -> bool:
+    def may_be_founded(self) -> bool:
         return any(one is None or one.life or one.back for one in self.views)
 
     def knows(self) -> bool:
         """It is counted, and knows as much of what is out as any process of it before may have said that it goes by; or there is no
         fleet yet."""
         remembers = self.resumed or has_majority_view(self.views)
-        return remembers and self.coordinator.is_counted() or not self.founded()
+        return remembers and self.coordinator.is_counted() or not self.may_be_founded()
 
     def line(self) -> dict:
         return {"fleet": self.fleet, "follower": self.name, "nonce": self.nonce, **self.coordinator.line()}
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -154,13 +154,13 @@
         """The latest that is decided, as far as is known here. What a member learned before it forgot stays decided."""
         return max((one.decided for one in self.seen() if one is not None), key=lambda said: said.stamp)
 
-    def founded(self) -> bool:
+    def may_be_founded(self) -> bool:
         """There is a fleet, or there may be one: not all others were heard."""
         return any(one is None or one.life or one.back for one in self.seen())
 
     def knows(self) -> bool:
         """This process knows as much of what is out as any before it may have said that it goes by."""
-        return self.register.life > 0 or not self.founded() or has_majority_view(self.views, self.me)
+        return self.register.life > 0 or not self.may_be_founded() or has_majority_view(self.views, self.me)
 
     def pause(self) -> int:
         """So long a member waits with a ballot of its own: by chance, over more beats the more members there are."""
@@ -177,7 +177,7 @@
                 self.is_coordinator(now),
                 [one.value for one in said],
                 self.members.suspected(now),
-                self.founded(),
+                self.may_be_founded(),
                 possibly_decided(self.seen()),
             )
         if self.fenced or not self.register.life:
