--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -70,7 +70,7 @@
     def may_be_founded(self) -> bool:
         return any(one is None or one.life or one.back for one in self.views)
 
-    def knows(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """It is counted, and knows as much of what is out as any process of it before may have said that it goes by; or there is no
         fleet yet."""
         remembers = self.resumed or has_majority_view(self.views)
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -158,7 +158,7 @@
         """There is a fleet, or there may be one: not all others were heard."""
         return any(one is None or one.life or one.back for one in self.seen())
 
-    def knows(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """This process knows as much of what is out as any before it may have said that it goes by."""
         return self.register.life > 0 or not self.may_be_founded() or has_majority_view(self.views, self.me)
 
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -286,7 +286,7 @@
             with self.lock:
                 at = now()
                 found, off, backs = self.coordinator.document, self.coordinator.withdrawn(at), self.coordinator.returning()
-                doubt, sure = self.coordinator.list_unknown(at), self.node.knows()
+                doubt, sure = self.coordinator.list_unknown(at), self.node.is_up_to_date()
             self.unsure = self.coordinator.announced()
             self.overlay.withdraw(off, backs)
             open_at = self.overlay.count_open_hops(sorted(self.unsure))
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -148,7 +148,7 @@
         off = coordinator.withdrawn(now)
         coordinator.fresh_loads = True
         coordinator.loads = {m: [10.0, 3.0 / self.members, 5.0, 2 if self.cold(coordinator, m, now) else 0] for m in self.listings}
-        if not coordinator.list_unknown(now) if self.strict else node.knows():  # at its start a router waits until it knows
+        if not coordinator.list_unknown(now) if self.strict else node.is_up_to_date():  # at its start a router waits until it knows
             for machine in self.listings:
                 if machine not in off and self.random.random() < 0.3:
                     self.hop(n, machine)
