--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -36,7 +36,7 @@
         self.resumed, self.decided = kept is not None, kept or consensus.NO_VALUE
         coordinator.update_document(self.decided.value)
 
-    def remember(self, kept: Register, now: int) -> None:
+    def restore(self, kept: Register, now: int) -> None:
         """What it had kept could be read only now."""
         self.resumed = True
         if kept.decided.stamp > self.decided.stamp:
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -59,7 +59,7 @@
         self.ask_at = now + length
         self.fenced = False
 
-    def remember(self, kept: Register, now: int) -> None:
+    def restore(self, kept: Register, now: int) -> None:
         """What this member had kept could be read only now. It has said nothing yet, nor come back without it."""
         self.register = consensus.resume(kept, self.register.nonce)
         self.lease.remembers()
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -191,7 +191,7 @@
             return self.not_read(wrong)
         with self.lock:
             if kept is not None:
-                self.node.remember(kept, now())
+                self.node.restore(kept, now())
                 if self.votes:
                     kept, self.life = self.node.register, kept.life
             self.kept, self.unread, self.failed = kept, "", False
