--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -142,7 +142,7 @@
             self.register = said
             self.step(now)
         if self.coordinator is not None:  # of what is kept, where this member remembers: it may be asked later what it went by
-            self.coordinator.update_document((self.register.decided if self.register.life else self.known()).value)
+            self.coordinator.update_document((self.register.decided if self.register.life else self.latest_decided()).value)
         if before.promised != self.register.promised:
             self.ask_at = now + self.pause()
 
@@ -150,7 +150,7 @@
         """What follows on the agreed value; None where nothing does, or this member does not hold the lease at this moment."""
         return self.coordinator.next_value(value, self.now) if self.coordinator is not None and self.is_coordinator(self.now) else None
 
-    def known(self) -> StampedValue:
+    def latest_decided(self) -> StampedValue:
         """The latest that is decided, as far as is known here. What a member learned before it forgot stays decided."""
         return max((one.decided for one in self.seen() if one is not None), key=lambda said: said.stamp)
 
@@ -171,7 +171,7 @@
         self.members.looked(now)
         self.follow(now)
         if self.coordinator is not None:
-            said = (self.known(), self.register.accepted, self.register.said)
+            said = (self.latest_decided(), self.register.accepted, self.register.said)
             self.coordinator.tick(
                 now,
                 self.is_coordinator(now),
