--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -43,12 +43,12 @@
             self.decided = kept.decided
             self.coordinator.update_document(self.decided.value)
 
-    register_of = Member.register_of
+    decode_cached = Member.decode_cached
 
     def receive_line(self, member: int, value: dict, now: int) -> None:
         """A line of one that settles; raises BadLine where it is none, or of another fleet."""
         check_fleet(self.fleet, value)
-        register = self.register_of(member, value.get("register"))
+        register = self.decode_cached(member, value.get("register"))
         self.coordinator.receive_line(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
         self.views[member] = register
         self.members.line(member, register.nonce, now)
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -72,7 +72,7 @@
     def receive_line(self, member: int, value: dict, now: int) -> None:
         """A line of that member; raises BadLine where it is none, or of another fleet."""
         check_fleet(self.fleet, value)
-        register = self.register_of(member, value.get("register"))
+        register = self.decode_cached(member, value.get("register"))
         backs, tick = (register_codec.ticked(value.get(name), name) for name in ("backs", "tick"))
         if self.coordinator is not None:
             self.coordinator.receive_line(
@@ -87,7 +87,7 @@
         self.members.line(member, register.nonce, now)
         self.follow(now)
 
-    def register_of(self, member: int, raw: Any) -> Register:
+    def decode_cached(self, member: int, raw: Any) -> Register:
         """What was read last stands for the same again: most lines bring a tick only."""
         before, read = self.raw[member]
         if raw == before and read is not None:
