--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -31,7 +31,7 @@
         self.fleet, self.name, self.nonce, self.coordinator = fleet, name, nonce, coordinator
         self.beat = length // BEATS_PER_LEASE
         self.views: list = [None] * members
-        self.raw: list = [(None, None)] * members
+        self.decoded: list = [(None, None)] * members
         self.members = FailureDetector(-1, members, now, self.beat, self.beat // 4)
         self.resumed, self.decided = kept is not None, kept or consensus.NO_VALUE
         coordinator.update_document(self.decided.value)
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -49,7 +49,7 @@
         self.fleet, self.register, self.me, self.coordinator = fleet, register, register.member, coordinator
         self.beat, self.random = length // BEATS_PER_LEASE, random.Random(seed)
         self.views: list = [None] * members
-        self.raw: list = [(None, None)] * members  # the register each said last, as it came and as it was read
+        self.decoded: list = [(None, None)] * members  # the register each said last, as it came and as it was read
         self.said: list = [None] * members
         self.ticks: list = [(NO_BALLOT, 0)] * members
         self.now = now
@@ -89,13 +89,13 @@
 
     def decode_cached(self, member: int, raw: Any) -> Register:
         """What was read last stands for the same again: most lines bring a tick only."""
-        before, read = self.raw[member]
+        before, read = self.decoded[member]
         if raw == before and read is not None:
             return read
         register = register_codec.decode_register(raw, len(self.views))
         if register.member != member:
             raise register_codec.BadLine(f"member: {register.member} at {member}'s address")
-        self.raw[member] = raw, register
+        self.decoded[member] = raw, register
         return register
 
     def receive_follower_line(self, name: str, value: dict, now: int) -> None:
