--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -32,7 +32,7 @@
         self.beat = length // BEATS_PER_LEASE
         self.views: list = [None] * members
         self.decoded: list = [(None, None)] * members
-        self.members = FailureDetector(-1, members, now, self.beat, self.beat // 4)
+        self.failure_detector = FailureDetector(-1, members, now, self.beat, self.beat // 4)
         self.resumed, self.decided = kept is not None, kept or consensus.NO_VALUE
         coordinator.update_document(self.decided.value)
 
@@ -51,17 +51,17 @@
         register = self.decode_cached(member, value.get("register"))
         self.coordinator.receive_line(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
         self.views[member] = register
-        self.members.line(member, register.nonce, now)
+        self.failure_detector.line(member, register.nonce, now)
         if register.decided.stamp > self.decided.stamp:
             self.decided = register.decided
             self.coordinator.update_document(self.decided.value)
 
     def receive_heartbeat(self, member: int, now: int) -> None:
         if self.views[member] is not None:
-            self.members.line(member, self.views[member].nonce, now)
+            self.failure_detector.line(member, self.views[member].nonce, now)
 
     def tick(self, now: int) -> None:
-        self.members.looked(now)
+        self.failure_detector.looked(now)
         self.coordinator.tick(now, False, [], (), self.may_be_founded(), possibly_decided(self.views))
 
     def is_coordinator(self, now: int) -> bool:
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -54,7 +54,7 @@
         self.ticks: list = [(NO_BALLOT, 0)] * members
         self.now = now
         self.lease = Lease(self.me, length, began=now, forgot=forgot)
-        self.members = FailureDetector(self.me, members, now, self.beat, self.beat // 4)
+        self.failure_detector = FailureDetector(self.me, members, now, self.beat, self.beat // 4)
         self.ticked = 0
         self.ask_at = now + length
         self.fenced = False
@@ -84,7 +84,7 @@
             )
         self.said[member], self.ticks[member] = Backs(*backs), tick
         self.views[member] = register
-        self.members.line(member, register.nonce, now)
+        self.failure_detector.line(member, register.nonce, now)
         self.follow(now)
 
     def decode_cached(self, member: int, raw: Any) -> Register:
@@ -101,15 +101,15 @@
     def receive_follower_line(self, name: str, value: dict, now: int) -> None:
         """A line of a router that follows; raises BadLine where it is none, or of another fleet."""
         follower_line(self.fleet, name, value, self.coordinator, self.register.nonce)
-        self.members.line(name, value["nonce"], now)
+        self.failure_detector.line(name, value["nonce"], now)
 
     def receive_heartbeat(self, member, now: int) -> None:
         """A line of it that tells nothing new. Guards against intervals learned while nothing happened: found with
         processes, where a killed member was followed after 5.4 s of a lease of 1 s."""
         if type(member) is not int:
-            self.members.line(member, self.coordinator.reports[member].nonce if member in self.coordinator.reports else 0, now)
+            self.failure_detector.line(member, self.coordinator.reports[member].nonce if member in self.coordinator.reports else 0, now)
         elif self.views[member] is not None:
-            self.members.line(member, self.views[member].nonce, now)
+            self.failure_detector.line(member, self.views[member].nonce, now)
 
     def found_fleet(self) -> None:
         self.register = consensus.found(self.register, self.seen())
@@ -168,7 +168,7 @@
 
     def tick(self, now: int) -> None:
         """Time has passed: to be called about four times a beat."""
-        self.members.looked(now)
+        self.failure_detector.looked(now)
         self.follow(now)
         if self.coordinator is not None:
             said = (self.latest_decided(), self.register.accepted, self.register.said)
@@ -176,7 +176,7 @@
                 now,
                 self.is_coordinator(now),
                 [one.value for one in said],
-                self.members.suspected(now),
+                self.failure_detector.suspected(now),
                 self.may_be_founded(),
                 possibly_decided(self.seen()),
             )
@@ -202,7 +202,7 @@
         for ballot in {self.register.promised, *kept}:
             if (
                 0 <= ballot[1] != self.me
-                and not self.members.gone(ballot[1], now)
+                and not self.failure_detector.gone(ballot[1], now)
                 and (ballot == self.register.promised or kept.count(ballot) >= consensus.majority(len(self.views)))
             ):
                 return True
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -268,7 +268,7 @@
         for name in set(self.followers) - wanted:
             self.followers.pop(name).end()
             with self.lock:
-                self.node.members.forget(name)
+                self.node.failure_detector.forget(name)
         for n, name in enumerate(sorted(wanted - set(self.followers)) if yes else ()):
             peer = self.followers[name] = Peer(self, name, member(members[name])[0], self.seed + len(self.names) + n)
             threading.Thread(target=keep_running, args=(f"fleet-{name}", peer.run), name=f"fleet-{name}", daemon=True).start()
