--- a/fieldspur/fleet/failure_detector.py
+++ b/fieldspur/fleet/failure_detector.py
@@ -26,7 +26,7 @@
         self.nonce, self.at, self.expected = 0, now, expected
         self.intervals: deque = deque([expected], maxlen=KEPT)
 
-    def line(self, nonce: int, now: int) -> None:
+    def record_line(self, nonce: int, now: int) -> None:
         if nonce == self.nonce:
             self.intervals.append(max(self.expected, now - self.at))  # a burst teaches nothing: all speak each beat
         self.nonce, self.at = nonce, now
@@ -66,10 +66,10 @@
             one.at = min(now, one.at + still)
         return still
 
-    def line(self, member, nonce: int, now: int) -> None:
+    def record_line(self, member, nonce: int, now: int) -> None:
         if member not in self.heard:
             self.heard[member] = Heard(now, self.expected)
-        self.heard[member].line(nonce, now)
+        self.heard[member].record_line(nonce, now)
 
     def phi(self, member, now: int) -> float:
         return 0.0 if member == self.own else self.heard[member].phi(now)
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -51,14 +51,14 @@
         register = self.decode_cached(member, value.get("register"))
         self.coordinator.receive_line(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
         self.views[member] = register
-        self.failure_detector.line(member, register.nonce, now)
+        self.failure_detector.record_line(member, register.nonce, now)
         if register.decided.stamp > self.decided.stamp:
             self.decided = register.decided
             self.coordinator.update_document(self.decided.value)
 
     def receive_heartbeat(self, member: int, now: int) -> None:
         if self.views[member] is not None:
-            self.failure_detector.line(member, self.views[member].nonce, now)
+            self.failure_detector.record_line(member, self.views[member].nonce, now)
 
     def tick(self, now: int) -> None:
         self.failure_detector.looked(now)
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -84,7 +84,7 @@
             )
         self.said[member], self.ticks[member] = Backs(*backs), tick
         self.views[member] = register
-        self.failure_detector.line(member, register.nonce, now)
+        self.failure_detector.record_line(member, register.nonce, now)
         self.follow(now)
 
     def decode_cached(self, member: int, raw: Any) -> Register:
@@ -101,15 +101,17 @@
     def receive_follower_line(self, name: str, value: dict, now: int) -> None:
         """A line of a router that follows; raises BadLine where it is none, or of another fleet."""
         follower_line(self.fleet, name, value, self.coordinator, self.register.nonce)
-        self.failure_detector.line(name, value["nonce"], now)
+        self.failure_detector.record_line(name, value["nonce"], now)
 
     def receive_heartbeat(self, member, now: int) -> None:
         """A line of it that tells nothing new. Guards against intervals learned while nothing happened: found with
         processes, where a killed member was followed after 5.4 s of a lease of 1 s."""
         if type(member) is not int:
-            self.failure_detector.line(member, self.coordinator.reports[member].nonce if member in self.coordinator.reports else 0, now)
+            self.failure_detector.record_line(
+                member, self.coordinator.reports[member].nonce if member in self.coordinator.reports else 0, now
+            )
         elif self.views[member] is not None:
-            self.failure_detector.line(member, self.views[member].nonce, now)
+            self.failure_detector.record_line(member, self.views[member].nonce, now)
 
     def found_fleet(self) -> None:
         self.register = consensus.found(self.register, self.seen())
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -14,9 +14,9 @@
     now = at = 0
     for _ in range(60):
         now += 250 * MS
-        steady.line(5, now)
+        steady.record_line(5, now)
         at += chance.randrange(20, 900) * MS
-        fitful.line(5, at)
+        fitful.record_line(5, at)
     silence = [steady.phi(now + n * 100 * MS) for n in range(1, 12)]
     assert silence == sorted(silence) and silence[0] < 1 and silence[-1] > SUSPECT
     assert fitful.phi(at + 700 * MS) < 2 < SUSPECT < steady.phi(now + 700 * MS)
@@ -25,15 +25,15 @@
 def test_a_restart_is_no_long_interval_and_a_standstill_here_is_no_silence_there():
     one = Heard(0, 250 * MS)
     for n in range(1, 20):
-        one.line(5, n * 250 * MS)
+        one.record_line(5, n * 250 * MS)
     before = list(one.intervals)
-    one.line(6, 60_000 * MS)
+    one.record_line(6, 60_000 * MS)
     assert list(one.intervals) == before
     members = FailureDetector(0, 2, 0, 250 * MS, 60 * MS)
     for n in range(1, 100):
         members.looked(n * 60 * MS)
         if n % 4 == 0:
-            members.line(1, 5, n * 60 * MS)
+            members.record_line(1, 5, n * 60 * MS)
     late = 99 * 60 * MS + 10_000 * MS
     assert members.gone(1, late)
     assert members.looked(late) >= 9_000 * MS and not members.gone(1, late)
