--- a/fieldspur/fleet/failure_detector.py
+++ b/fieldspur/fleet/failure_detector.py
@@ -57,7 +57,7 @@
         self.own, self.look, self.last, self.expected = own, look, now, expected
         self.heard: dict = {n: Heard(now, expected) for n in range(many) if n != own}
 
-    def looked(self, now: int) -> int:
+    def check_standstill(self, now: int) -> int:
         """To be called every `look` ns; how long this process stood still before, which is nobody's silence."""
         still, self.last = now - self.last - self.look, now
         if still < STILL * self.look:
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -61,7 +61,7 @@
             self.failure_detector.record_line(member, self.views[member].nonce, now)
 
     def tick(self, now: int) -> None:
-        self.failure_detector.looked(now)
+        self.failure_detector.check_standstill(now)
         self.coordinator.tick(now, False, [], (), self.may_be_founded(), possibly_decided(self.views))
 
     def is_coordinator(self, now: int) -> bool:
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -170,7 +170,7 @@
 
     def tick(self, now: int) -> None:
         """Time has passed: to be called about four times a beat."""
-        self.failure_detector.looked(now)
+        self.failure_detector.check_standstill(now)
         self.follow(now)
         if self.coordinator is not None:
             said = (self.latest_decided(), self.register.accepted, self.register.said)
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -31,12 +31,12 @@
     assert list(one.intervals) == before
     members = FailureDetector(0, 2, 0, 250 * MS, 60 * MS)
     for n in range(1, 100):
-        members.looked(n * 60 * MS)
+        members.check_standstill(n * 60 * MS)
         if n % 4 == 0:
             members.record_line(1, 5, n * 60 * MS)
     late = 99 * 60 * MS + 10_000 * MS
     assert members.gone(1, late)
-    assert members.looked(late) >= 9_000 * MS and not members.gone(1, late)
+    assert members.check_standstill(late) >= 9_000 * MS and not members.gone(1, late)
 
 
 def test_what_is_wanted_at_two_members_is_agreed_in_one_order_everywhere():
