--- a/fieldspur/fleet/failure_detector.py
+++ b/fieldspur/fleet/failure_detector.py
@@ -74,7 +74,7 @@
     def phi(self, member, now: int) -> float:
         return 0.0 if member == self.own else self.heard[member].phi(now)
 
-    def gone(self, member, now: int) -> bool:
+    def is_suspected(self, member, now: int) -> bool:
         return self.phi(member, now) >= SUSPECT
 
     def suspected(self, now: int) -> list:
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -204,7 +204,7 @@
         for ballot in {self.register.promised, *kept}:
             if (
                 0 <= ballot[1] != self.me
-                and not self.failure_detector.gone(ballot[1], now)
+                and not self.failure_detector.is_suspected(ballot[1], now)
                 and (ballot == self.register.promised or kept.count(ballot) >= consensus.majority(len(self.views)))
             ):
                 return True
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -35,8 +35,8 @@
         if n % 4 == 0:
             members.record_line(1, 5, n * 60 * MS)
     late = 99 * 60 * MS + 10_000 * MS
-    assert members.gone(1, late)
-    assert members.check_standstill(late) >= 9_000 * MS and not members.gone(1, late)
+    assert members.is_suspected(1, late)
+    assert members.check_standstill(late) >= 9_000 * MS and not members.is_suspected(1, late)
 
 
 def test_what_is_wanted_at_two_members_is_agreed_in_one_order_everywhere():
