--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -129,7 +129,7 @@
         self.every = min(EVERY, self.node.beat / 1e9)
         self.kept, self.failed, self.acting, self.life = kept, bool(self.unread), False, kept.life if votes and kept else 0
         self.rev, self.data, self.last = 0, b"", {}
-        self.known = threading.Event()  # set once this member knows what is out, or that nobody does
+        self.state_known = threading.Event()  # set once this member knows what is out, or that nobody does
         self.unsure, self.shown = frozenset(), work_orders.EMPTY_DOCUMENT  # what may only be used by lease; the document last logged
         self.quiet_since, self.quiet_told = 0, False  # since when nobody is known to act
         self.applying = threading.Lock()
@@ -296,7 +296,7 @@
             if self.coordinator.strict:
                 self.overlay.reject_all(doubt)
             if sure:
-                self.known.set()
+                self.state_known.set()
             self.tell(found)
 
     def doubted(self, server: str) -> bool:
