--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -193,7 +193,7 @@
         first = wishes.fleet.first
         if self.talk is not None:
             if first and not self.wishes.fleet.first:  # an operator's word, not one left in the file
-                self.talk.found()
+                self.talk.found_fleet()
             kept += [] if self.talk.wish(wishes.fleet) else ["fleet"]
         elif wishes.fleet != self.wishes.fleet:
             kept.append("fleet")
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -350,7 +350,7 @@
             self.wishes = fleet
         return same is not None
 
-    def found(self) -> None:
+    def found_fleet(self) -> None:
         """An operator's word that there was no fleet before; refused with the reason in the log."""
         with self.lock:
             try:
