--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -194,7 +194,7 @@
         if self.talk is not None:
             if first and not self.wishes.fleet.first:  # an operator's word, not one left in the file
                 self.talk.found_fleet()
-            kept += [] if self.talk.wish(wishes.fleet) else ["fleet"]
+            kept += [] if self.talk.reload(wishes.fleet) else ["fleet"]
         elif wishes.fleet != self.wishes.fleet:
             kept.append("fleet")
         self.wishes = replace(self.wishes, log=wishes.log, counts=wishes.counts, fleet=replace(self.wishes.fleet, first=first))
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -338,7 +338,7 @@
                     extra={"kv": {"order": one.ident, "machine": one.machine, "how": one.how, "why": one.why or "-"}},
                 )
 
-    def wish(self, fleet: Fleet) -> bool:
+    def reload(self, fleet: Fleet) -> bool:
         """An operators' file was read again; whether all of it is taken over. Members that vote, and what a member is, stay."""
         same = replace(fleet, members=self.wishes.members, work=self.wishes.work, left=self.wishes.left, first=self.wishes.first)
         mine = {name: fleet.members.get(name) for name in (*self.names, self.own)}
