--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -19,7 +19,7 @@
     """`many` processes; member a reads member b through a link of its own. `failing`: their system calls can be made to fail (`shims`)."""
 
     def __init__(self, folder, many, disk=False, caches=1, failing=False, **fleet):
-        self.folder, self.many, self.disk, self.fleet = folder, many, disk, fleet
+        self.folder, self.many, self.disk, self.fleet_settings = folder, many, disk, fleet
         library = shim.build(folder) if failing else None
         self.shims = [shim.Shim(folder, library, n, 1) for n in range(many)] if failing else []
         self.asked = {n: [] for n in range(many)}
@@ -38,7 +38,7 @@
             "name": "valley",
             "lease_s": 1.0,
             "work": self.asked[n],
-            **self.fleet,
+            **self.fleet_settings,
             "members": {
                 name: (f"{HOST}:{self.ports[m]}" if m == n else f"127.0.0.1:{self.links[n, m].port}") + f" z{m % 2}"
                 for m, name in enumerate(self.names)
@@ -85,7 +85,7 @@
         self.reload(n)
 
     def settle(self):
-        return [n for n, name in enumerate(self.names) if name in self.fleet.get("votes", self.names)]
+        return [n for n, name in enumerate(self.names) if name in self.fleet_settings.get("votes", self.names)]
 
     def orders(self, n):
         """The document on work that this member goes by: its number, orders by machine, how others ended."""
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -265,10 +265,10 @@
     time.sleep(3.0)
     number, orders, _ = fleet.orders(0)
     assert orders["c2"].state == work_orders.NEXT and orders["c2"].note == "r3 has not heard of it"
-    fleet.fleet["left"] = ["r3"]
+    fleet.fleet_settings["left"] = ["r3"]
     fleet.reload(1)
     at = out_since(fleet, 0, "c2")
-    fleet.fleet.pop("left")
+    fleet.fleet_settings.pop("left")
     fleet.reload(1)
     fleet.restart(3)
     fleet.all[3].client()
