--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -62,7 +62,7 @@
         self.all[n].process.kill()
         self.all[n].process.wait()
 
-    def found(self, n=0):
+    def found_fleet(self, n=0):
         until(lambda: all(self.said(m) for m in range(self.many)), "all members")
 
         def begun():
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -20,7 +20,7 @@
 
 def test_an_operator_asks_shows_holds_and_withdraws_from_the_command_line(routers):
     fleet = routers(3, caches=3, bounds={"zone": 0.5, "all": 0.5})
-    fleet.found()
+    fleet.found_fleet()
     files = [fleet.folder / f"r{n}" / "operators.json" for n in range(3)]
     for n, path in enumerate(files):
         path.write_text(json.dumps(fleet.wishes(n)))
@@ -50,7 +50,7 @@
 
 def test_a_router_that_follows_is_shown_leaves_and_joins_from_the_command_line(routers):
     fleet = routers(4, votes=["r0", "r1", "r2"])
-    fleet.found()
+    fleet.found_fleet()
     file = fleet.folder / "r0" / "operators.json"
     file.write_text(json.dumps(fleet.wishes(0)))
 
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -38,7 +38,7 @@
     rolls back what a kill left half written before it reads; where it can't, the start took its error for a folder that can't be used, and
     ended with code 2 ("fleet.folder: ...fleet.sqlite3: disk I/O error"). Now it serves, and is a member once it has read that."""
     fleet = routers(3, disk=True, failing=True)
-    fleet.found()
+    fleet.found_fleet()
     promised = max(fleet.said(n)["register"]["promised"] for n in range(3))
     for n in range(3):
         fleet.kill(n)
@@ -70,7 +70,7 @@
     fleet.shims[0].rate("disk", 0)
     nonce = until(lambda: fleet.said(0))["register"]["nonce"]
     until(lambda: all(fleet.said(n)["register"]["seen"][0][0] == nonce for n in (1, 2)))  # an operator's word is for the processes heard
-    fleet.found(1)
+    fleet.found_fleet(1)
 
 
 def test_a_first_write_that_fails_after_a_restart_does_not_bring_the_process_before_back(routers):
@@ -78,7 +78,7 @@
     `Transport.keep` fell back to the register as it was read from the disk, with that one's ballot and proposal, under which others may still
     count it as who acts. Now it falls back to the register as this process took it up (`agree.resume`)."""
     fleet = routers(3, disk=True, failing=True)
-    fleet.found()
+    fleet.found_fleet()
     before = [fleet.said(n)["register"]["nonce"] for n in range(3)]
     for n in range(3):
         fleet.kill(n)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -14,7 +14,7 @@
     fleet = routers(3)
     time.sleep(2.0)
     assert not any(fleet.said(n)["register"]["life"] for n in range(3)) and not any(fleet.acts(n) for n in range(3))
-    first, _ = fleet.found(1)
+    first, _ = fleet.found_fleet(1)
     fleet.kill(first)
     second, took = fleet.acting(but=[first])
     assert second != first and took < 5
@@ -28,7 +28,7 @@
 
 def test_a_stopped_holder_acts_no_more_once_it_goes_on(routers):
     fleet = routers(3)
-    first, _ = fleet.found()
+    first, _ = fleet.found_fleet()
     fleet.all[first].process.send_signal(signal.SIGSTOP)
     second, _ = fleet.acting(but=[first])
     fleet.all[first].process.send_signal(signal.SIGCONT)
@@ -39,7 +39,7 @@
 
 def test_two_of_three_that_lose_their_memory_leave_a_fleet_that_serves_and_changes_nothing(routers):
     fleet = routers(3)
-    fleet.found()
+    fleet.found_fleet()
     for n in (0, 1):
         fleet.kill(n)
     for n in (0, 1):
@@ -55,7 +55,7 @@
 
 def test_with_a_directory_all_may_be_killed_and_the_fleet_goes_on_where_it_was(routers):
     fleet = routers(3, disk=True)
-    fleet.found()
+    fleet.found_fleet()
     promised = max(fleet.said(n)["register"]["promised"] for n in range(3))
     for n in range(3):
         fleet.kill(n)
@@ -69,7 +69,7 @@
 
 def test_a_holder_that_is_heard_by_nobody_gives_way_and_a_stalled_link_catches_up(routers):
     fleet = routers(3)
-    first, _ = fleet.found()
+    first, _ = fleet.found_fleet()
     for n in range(3):
         if n != first:
             fleet.links[n, first].stalled.set()  # it hears them, they do not hear it
@@ -83,7 +83,7 @@
 
 def test_a_member_cut_off_both_ways_does_not_act_and_the_others_do(routers):
     fleet = routers(3)
-    first, _ = fleet.found()
+    first, _ = fleet.found_fleet()
     for (a, b), link in fleet.links.items():
         if first in (a, b):
             link.cuts(True)
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -63,7 +63,7 @@
 
     def make(*about, **more):
         fleet = routers(*about, caches=4, bounds={"zone": 0.5, "all": 0.5, "both": 1.0}, **more)
-        fleet.found()
+        fleet.found_fleet()
         made.append(Crowd(fleet))
         time.sleep(1.5)
         return fleet, made[-1]
