--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -63,7 +63,7 @@
         self.all[n].process.wait()
 
     def found_fleet(self, n=0):
-        until(lambda: all(self.said(m) for m in range(self.many)), "all members")
+        until(lambda: all(self.published_line(m) for m in range(self.many)), "all members")
 
         def begun():
             for first, wait in ((False, 0.1), (True, 0.5)):
@@ -72,7 +72,7 @@
             return "event=founding" in self.all[n].lines()
 
         until(begun, "a fleet that begins")
-        until(lambda: all(self.said(m)["register"]["life"] for m in self.settle()), "all members with a life")
+        until(lambda: all(self.published_line(m)["register"]["life"] for m in self.settle()), "all members with a life")
         return self.acting()
 
     def reload(self, n, **more):
@@ -90,7 +90,7 @@
     def orders(self, n):
         """The document on work that this member goes by: its number, orders by machine, how others ended."""
         found = work_orders.read_document(
-            register_codec.freeze((self.said(n) or {"register": {"decided": [0, None]}})["register"]["decided"][1])
+            register_codec.freeze((self.published_line(n) or {"register": {"decided": [0, None]}})["register"]["decided"][1])
         )
         return found.number, {one.machine: one for one in found.orders}, {one.machine: one for one in found.ended}
 
@@ -98,7 +98,7 @@
         _, orders, ended = self.orders(n)
         return orders[machine].state if machine in orders else ended[machine].how if machine in ended else None
 
-    def said(self, n):
+    def published_line(self, n):
         """The line that member n publishes now, seen as another member sees it; None where it does not."""
         time.sleep(0.05)
         try:
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -39,7 +39,7 @@
     ended with code 2 ("fleet.folder: ...fleet.sqlite3: disk I/O error"). Now it serves, and is a member once it has read that."""
     fleet = routers(3, disk=True, failing=True)
     fleet.found_fleet()
-    promised = max(fleet.said(n)["register"]["promised"] for n in range(3))
+    promised = max(fleet.published_line(n)["register"]["promised"] for n in range(3))
     for n in range(3):
         fleet.kill(n)
         torn(fleet.folder / f"r{n}" / FILE)
@@ -48,19 +48,19 @@
         fleet.restart(n)
     assert all(served(fleet.all[n]) for n in range(3))
     assert all(fleet.shims[n].fired()["disk"] for n in range(3))
-    assert not any(fleet.said(n) for n in range(3))  # what it may have promised is not known
+    assert not any(fleet.published_line(n) for n in range(3))  # what it may have promised is not known
     for n in range(3):
         fleet.shims[n].rate("disk", 0)
-    until(lambda: all(fleet.said(n) for n in range(3)), "members that remember")
-    assert [fleet.said(n)["register"]["life"] for n in range(3)] == [1, 1, 1]
+    until(lambda: all(fleet.published_line(n) for n in range(3)), "members that remember")
+    assert [fleet.published_line(n)["register"]["life"] for n in range(3)] == [1, 1, 1]
     fleet.acting()
-    assert max(fleet.said(n)["register"]["promised"] for n in range(3)) > promised
+    assert max(fleet.published_line(n)["register"]["promised"] for n in range(3)) > promised
     assert not any("store_spoilt" in fleet.all[n].lines() for n in range(3))
 
 
 def test_a_router_that_starts_for_the_first_time_on_a_failing_disk_serves_and_is_there_once_it_works(routers):
     fleet = routers(3, disk=True, failing=True)
-    until(lambda: all(fleet.said(n) for n in range(3)))
+    until(lambda: all(fleet.published_line(n) for n in range(3)))
     fleet.kill(0)
     for path in (fleet.folder / "r0").glob(FILE + "*"):
         path.unlink()
@@ -68,8 +68,10 @@
     fleet.restart(0)
     assert served(fleet.all[0])
     fleet.shims[0].rate("disk", 0)
-    nonce = until(lambda: fleet.said(0))["register"]["nonce"]
-    until(lambda: all(fleet.said(n)["register"]["seen"][0][0] == nonce for n in (1, 2)))  # an operator's word is for the processes heard
+    nonce = until(lambda: fleet.published_line(0))["register"]["nonce"]
+    until(
+        lambda: all(fleet.published_line(n)["register"]["seen"][0][0] == nonce for n in (1, 2))
+    )  # an operator's word is for the processes heard
     fleet.found_fleet(1)
 
 
@@ -79,7 +81,7 @@
     count it as who acts. Now it falls back to the register as this process took it up (`agree.resume`)."""
     fleet = routers(3, disk=True, failing=True)
     fleet.found_fleet()
-    before = [fleet.said(n)["register"]["nonce"] for n in range(3)]
+    before = [fleet.published_line(n)["register"]["nonce"] for n in range(3)]
     for n in range(3):
         fleet.kill(n)
         fleet.shims[n].rate("disk", 1000)
@@ -87,7 +89,7 @@
         fleet.restart(n)
     assert all(served(fleet.all[n]) for n in range(3))
     time.sleep(1.0)
-    said = [fleet.said(n) for n in range(3)]
+    said = [fleet.published_line(n) for n in range(3)]
     assert not any(one and one["register"]["nonce"] in before for one in said)
     assert not any(one and one["register"]["asked"][0] for one in said)
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -13,14 +13,14 @@
 def test_nothing_begins_by_itself_and_a_killed_member_is_followed_and_comes_back_without_memory(routers):
     fleet = routers(3)
     time.sleep(2.0)
-    assert not any(fleet.said(n)["register"]["life"] for n in range(3)) and not any(fleet.acts(n) for n in range(3))
+    assert not any(fleet.published_line(n)["register"]["life"] for n in range(3)) and not any(fleet.acts(n) for n in range(3))
     first, _ = fleet.found_fleet(1)
     fleet.kill(first)
     second, took = fleet.acting(but=[first])
     assert second != first and took < 5
     fleet.restart(first)
-    until(lambda: fleet.said(first) and fleet.said(first)["register"]["life"] > 1, "a member that counts again")
-    assert fleet.said(first)["register"]["promised"][1] == second
+    until(lambda: fleet.published_line(first) and fleet.published_line(first)["register"]["life"] > 1, "a member that counts again")
+    assert fleet.published_line(first)["register"]["promised"][1] == second
     client = fleet.all[first].client()  # and it serves
     client.ask(1)
     assert client.get()[2] == 79
@@ -33,7 +33,7 @@
     second, _ = fleet.acting(but=[first])
     fleet.all[first].process.send_signal(signal.SIGCONT)
     until(lambda: not fleet.acts(first), "word of the end of its lease")
-    until(lambda: fleet.said(first)["register"]["promised"] == fleet.said(second)["register"]["promised"])
+    until(lambda: fleet.published_line(first)["register"]["promised"] == fleet.published_line(second)["register"]["promised"])
     assert fleet.acts(second)
 
 
@@ -49,22 +49,22 @@
         client.ask(1)
         assert client.get()[2] == 79
     time.sleep(3.0)
-    assert [fleet.said(n)["register"]["life"] for n in range(3)] == [0, 0, 1]
+    assert [fleet.published_line(n)["register"]["life"] for n in range(3)] == [0, 0, 1]
     assert not any(fleet.acts(n) for n in range(3))
 
 
 def test_with_a_directory_all_may_be_killed_and_the_fleet_goes_on_where_it_was(routers):
     fleet = routers(3, disk=True)
     fleet.found_fleet()
-    promised = max(fleet.said(n)["register"]["promised"] for n in range(3))
+    promised = max(fleet.published_line(n)["register"]["promised"] for n in range(3))
     for n in range(3):
         fleet.kill(n)
     for n in range(3):
         fleet.restart(n)
-    until(lambda: all(fleet.said(n) for n in range(3)))
-    assert [fleet.said(n)["register"]["life"] for n in range(3)] == [1, 1, 1]
+    until(lambda: all(fleet.published_line(n) for n in range(3)))
+    assert [fleet.published_line(n)["register"]["life"] for n in range(3)] == [1, 1, 1]
     fleet.acting()
-    assert max(fleet.said(n)["register"]["promised"] for n in range(3)) > promised
+    assert max(fleet.published_line(n)["register"]["promised"] for n in range(3)) > promised
 
 
 def test_a_holder_that_is_heard_by_nobody_gives_way_and_a_stalled_link_catches_up(routers):
@@ -77,7 +77,7 @@
     until(lambda: not fleet.acts(first))
     for link in fleet.links.values():
         link.stalled.clear()
-    until(lambda: len({tuple(fleet.said(n)["register"]["promised"]) for n in range(3)}) == 1, "one ballot")
+    until(lambda: len({tuple(fleet.published_line(n)["register"]["promised"]) for n in range(3)}) == 1, "one ballot")
     assert sum(fleet.acts(n) for n in range(3)) == 1
 
 
@@ -91,7 +91,7 @@
     until(lambda: not fleet.acts(first))
     for link in fleet.links.values():
         link.cuts(False)
-    until(lambda: len({tuple(fleet.said(n)["register"]["promised"]) for n in range(3)}) == 1, "one ballot")
+    until(lambda: len({tuple(fleet.published_line(n)["register"]["promised"]) for n in range(3)}) == 1, "one ballot")
 
 
 @pytest.mark.parametrize(
