--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -73,7 +73,7 @@
 
         until(begun, "a fleet that begins")
         until(lambda: all(self.published_line(m)["register"]["life"] for m in self.settle()), "all members with a life")
-        return self.acting()
+        return self.wait_for_coordinator()
 
     def reload(self, n, **more):
         self.all[n].wishes(self.wishes(n, **more))
@@ -112,7 +112,7 @@
         found = [line for line in self.all[n].lines().splitlines() if "event=acting" in line or "event=acts_no_more" in line]
         return bool(found) and "event=acting" in found[-1]
 
-    def acting(self, but=()):
+    def wait_for_coordinator(self, but=()):
         """The one member that acts, and how long until it did."""
         began = time.monotonic()
         one = until(lambda: [n for n in range(self.many) if n not in but and self.acts(n)], "a member that acts")
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -53,7 +53,7 @@
         fleet.shims[n].rate("disk", 0)
     until(lambda: all(fleet.published_line(n) for n in range(3)), "members that remember")
     assert [fleet.published_line(n)["register"]["life"] for n in range(3)] == [1, 1, 1]
-    fleet.acting()
+    fleet.wait_for_coordinator()
     assert max(fleet.published_line(n)["register"]["promised"] for n in range(3)) > promised
     assert not any("store_spoilt" in fleet.all[n].lines() for n in range(3))
 
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -118,7 +118,7 @@
 
 def test_a_router_that_is_cut_off_keeps_off_what_was_announced_to_it_and_serves_from_the_others(crowded):
     fleet, crowd = crowded(3)
-    first, _ = fleet.acting()
+    first, _ = fleet.wait_for_coordinator()
     deaf, go = told_what_is_next(fleet, first, "c2")
     for (a, b), link in fleet.links.items():
         if deaf in (a, b):
@@ -139,7 +139,7 @@
 
 def test_a_router_that_was_stopped_meanwhile_wakes_and_uses_nothing_that_went(crowded):
     fleet, crowd = crowded(3)
-    first, _ = fleet.acting()
+    first, _ = fleet.wait_for_coordinator()
     still, go = told_what_is_next(fleet, first, "c2")
     fleet.all[still].process.send_signal(signal.SIGSTOP)
     go()
@@ -153,7 +153,7 @@
 
 def test_what_a_stopped_router_was_not_told_of_does_not_go_before_it_hears(crowded):
     fleet, crowd = crowded(3)
-    first, _ = fleet.acting()
+    first, _ = fleet.wait_for_coordinator()
     still = (first + 1) % 3
     fleet.all[still].process.send_signal(signal.SIGSTOP)
     fleet.ask(first, {"machine": "c3", "needs_s": 300})
@@ -167,13 +167,13 @@
 
 def test_who_acts_is_killed_in_the_middle_and_restarted_without_memory_and_the_order_goes_on(crowded):
     fleet, crowd = crowded(3)
-    first, _ = fleet.acting()
+    first, _ = fleet.wait_for_coordinator()
     other = (first + 1) % 3
     fleet.ask(other, {"machine": "c0", "needs_s": 2})
     until(lambda: fleet.state(other, "c0") in (work_orders.GOING, work_orders.OUT), "a machine that goes")
     fleet.kill(first)
     at = out_since(fleet, other, "c0")
-    fleet.acting(but=[first])
+    fleet.wait_for_coordinator(but=[first])
     fleet.restart(first)
     until(lambda: fleet.state(other, "c0") == work_orders.FREE, "word that it is free")
     fleet.all[first].client()  # it serves again, and knows what is out
@@ -199,7 +199,7 @@
 def test_clocks_that_are_set_by_minutes_change_nothing_of_an_order_and_routers_go_on_serving(crowded, off):
     """First that of who acts, then that of another; agreement and leases go by a clock that nobody sets."""
     fleet, crowd = crowded(3)
-    first, _ = fleet.acting()
+    first, _ = fleet.wait_for_coordinator()
     other = (first + 1) % 3
     fleet.ask(other, {"machine": "c1", "needs_s": 2})
     until(lambda: fleet.state(other, "c1") in (work_orders.GOING, work_orders.OUT), "a machine that goes")
@@ -227,7 +227,7 @@
 
 def test_a_router_that_serves_nothing_in_doubt_turns_away_at_once_and_holds_up_no_order(crowded):
     fleet, crowd = crowded(3, unsure="turn_away")
-    first, _ = fleet.acting()
+    first, _ = fleet.wait_for_coordinator()
     alone = (first + 1) % 3
     for (a, b), link in fleet.links.items():
         if alone in (a, b):
@@ -279,7 +279,7 @@
 
 def test_a_member_whose_disk_is_full_says_nothing_new_and_an_order_waits_for_it(crowded):
     fleet, crowd = crowded(3, disk=True)
-    first, _ = fleet.acting()
+    first, _ = fleet.wait_for_coordinator()
     full = (first + 1) % 3
     resource.prlimit(fleet.all[full].process.pid, resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))  # no file grows past that
     fleet.ask(first, {"machine": "c1", "needs_s": 300})
