--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -13,7 +13,7 @@
 def test_nothing_begins_by_itself_and_a_killed_member_is_followed_and_comes_back_without_memory(routers):
     fleet = routers(3)
     time.sleep(2.0)
-    assert not any(fleet.published_line(n)["register"]["life"] for n in range(3)) and not any(fleet.acts(n) for n in range(3))
+    assert not any(fleet.published_line(n)["register"]["life"] for n in range(3)) and not any(fleet.is_coordinator(n) for n in range(3))
     first, _ = fleet.found_fleet(1)
     fleet.kill(first)
     second, took = fleet.wait_for_coordinator(but=[first])
@@ -32,9 +32,9 @@
     fleet.all[first].process.send_signal(signal.SIGSTOP)
     second, _ = fleet.wait_for_coordinator(but=[first])
     fleet.all[first].process.send_signal(signal.SIGCONT)
-    until(lambda: not fleet.acts(first), "word of the end of its lease")
+    until(lambda: not fleet.is_coordinator(first), "word of the end of its lease")
     until(lambda: fleet.published_line(first)["register"]["promised"] == fleet.published_line(second)["register"]["promised"])
-    assert fleet.acts(second)
+    assert fleet.is_coordinator(second)
 
 
 def test_two_of_three_that_lose_their_memory_leave_a_fleet_that_serves_and_changes_nothing(routers):
@@ -50,7 +50,7 @@
         assert client.get()[2] == 79
     time.sleep(3.0)
     assert [fleet.published_line(n)["register"]["life"] for n in range(3)] == [0, 0, 1]
-    assert not any(fleet.acts(n) for n in range(3))
+    assert not any(fleet.is_coordinator(n) for n in range(3))
 
 
 def test_with_a_directory_all_may_be_killed_and_the_fleet_goes_on_where_it_was(routers):
@@ -74,11 +74,11 @@
         if n != first:
             fleet.links[n, first].stalled.set()  # it hears them, they do not hear it
     second, _ = fleet.wait_for_coordinator(but=[first])
-    until(lambda: not fleet.acts(first))
+    until(lambda: not fleet.is_coordinator(first))
     for link in fleet.links.values():
         link.stalled.clear()
     until(lambda: len({tuple(fleet.published_line(n)["register"]["promised"]) for n in range(3)}) == 1, "one ballot")
-    assert sum(fleet.acts(n) for n in range(3)) == 1
+    assert sum(fleet.is_coordinator(n) for n in range(3)) == 1
 
 
 def test_a_member_cut_off_both_ways_does_not_act_and_the_others_do(routers):
@@ -88,7 +88,7 @@
         if first in (a, b):
             link.cuts(True)
     second, _ = fleet.wait_for_coordinator(but=[first])
-    until(lambda: not fleet.acts(first))
+    until(lambda: not fleet.is_coordinator(first))
     for link in fleet.links.values():
         link.cuts(False)
     until(lambda: len({tuple(fleet.published_line(n)["register"]["promised"]) for n in range(3)}) == 1, "one ballot")
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -212,7 +212,7 @@
     assert not crowd.to("c1", at + GRACE) and all(crowd.answers[n] > served[n] + 50 for n in range(3)), (served, crowd.answers)
     restarted(fleet, "c1")
     until(lambda: all(fleet.state(n, "c1") == work_orders.DONE for n in range(3)), "its end", 30)
-    assert fleet.acts(first)
+    assert fleet.is_coordinator(first)
 
 
 def test_a_withdrawn_order_gives_its_machine_back(crowded):
