--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -79,7 +79,7 @@
         self.all[n].wishes(self.wishes(n, **more))
         self.all[n].process.send_signal(signal.SIGHUP)
 
-    def ask(self, n, *rows):
+    def request_work(self, n, *rows):
         """The operators' file of one router asks for this from now on."""
         self.asked[n] = list(rows)
         self.reload(n)
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -88,7 +88,7 @@
 
 def test_a_machine_goes_out_is_free_and_comes_back_cold_at_all_routers(crowded):
     fleet, crowd = crowded(3)
-    fleet.ask(1, {"machine": "c1", "needs_s": 2})
+    fleet.request_work(1, {"machine": "c1", "needs_s": 2})
     at = out_since(fleet, 0, "c1")
     until(lambda: fleet.state(2, "c1") == work_orders.FREE, "word that it is free")
     time.sleep(1.5)
@@ -109,7 +109,7 @@
     for n in range(3):
         if n != late:
             fleet.links[late, n].cuts(True)
-    fleet.ask(first, {"machine": machine, "needs_s": 300})
+    fleet.request_work(first, {"machine": machine, "needs_s": 300})
     until(lambda: fleet.state(told, machine) == work_orders.NEXT, "word of what is next")
     time.sleep(0.5)
     assert fleet.state(first, machine) == work_orders.NEXT
@@ -156,7 +156,7 @@
     first, _ = fleet.wait_for_coordinator()
     still = (first + 1) % 3
     fleet.all[still].process.send_signal(signal.SIGSTOP)
-    fleet.ask(first, {"machine": "c3", "needs_s": 300})
+    fleet.request_work(first, {"machine": "c3", "needs_s": 300})
     time.sleep(3)
     assert fleet.state(first, "c3") == work_orders.NEXT, fleet.orders(first)
     fleet.all[still].process.send_signal(signal.SIGCONT)
@@ -169,7 +169,7 @@
     fleet, crowd = crowded(3)
     first, _ = fleet.wait_for_coordinator()
     other = (first + 1) % 3
-    fleet.ask(other, {"machine": "c0", "needs_s": 2})
+    fleet.request_work(other, {"machine": "c0", "needs_s": 2})
     until(lambda: fleet.state(other, "c0") in (work_orders.GOING, work_orders.OUT), "a machine that goes")
     fleet.kill(first)
     at = out_since(fleet, other, "c0")
@@ -185,7 +185,7 @@
 
 def test_all_restart_one_after_the_other_with_their_folders_while_a_machine_is_out(crowded):
     fleet, crowd = crowded(3, disk=True)
-    fleet.ask(0, {"machine": "c0", "needs_s": 300})
+    fleet.request_work(0, {"machine": "c0", "needs_s": 300})
     at = out_since(fleet, 1, "c0", work_orders.FREE)
     for n in range(3):
         fleet.kill(n)
@@ -201,7 +201,7 @@
     fleet, crowd = crowded(3)
     first, _ = fleet.wait_for_coordinator()
     other = (first + 1) % 3
-    fleet.ask(other, {"machine": "c1", "needs_s": 2})
+    fleet.request_work(other, {"machine": "c1", "needs_s": 2})
     until(lambda: fleet.state(other, "c1") in (work_orders.GOING, work_orders.OUT), "a machine that goes")
     fleet.clocks[first].set(off)
     at = out_since(fleet, other, "c1")
@@ -217,9 +217,9 @@
 
 def test_a_withdrawn_order_gives_its_machine_back(crowded):
     fleet, crowd = crowded(3)
-    fleet.ask(2, {"machine": "c3", "needs_s": 300, "before": time.time() + 3600})
+    fleet.request_work(2, {"machine": "c3", "needs_s": 300, "before": time.time() + 3600})
     out_since(fleet, 0, "c3")
-    fleet.ask(2)
+    fleet.request_work(2)
     until(lambda: fleet.state(0, "c3") == work_orders.DONE, "its end")
     at = time.monotonic()
     until(lambda: crowd.to("c3", at), "something to it again")
@@ -233,7 +233,7 @@
         if alone in (a, b):
             link.cuts(True)
     until(lambda: "event=shut" in fleet.all[alone].lines(), "a router that serves nothing")
-    fleet.ask(first, {"machine": "c1", "needs_s": 300})
+    fleet.request_work(first, {"machine": "c1", "needs_s": 300})
     at = out_since(fleet, first, "c1")
     client = Client(fleet.all[alone].address)
     began = time.monotonic()
@@ -256,12 +256,12 @@
 
 def test_routers_that_follow_are_told_asked_and_counted_and_one_that_left_is_not(crowded):
     fleet, crowd = crowded(5, votes=["r0", "r1", "r2"])
-    fleet.ask(4, {"machine": "c1", "needs_s": 300})  # at one that follows
+    fleet.request_work(4, {"machine": "c1", "needs_s": 300})  # at one that follows
     at = out_since(fleet, 0, "c1")
     time.sleep(1.0)
     assert not crowd.to("c1", at + GRACE) and all(crowd.answers[n] for n in range(5))
     fleet.kill(3)
-    fleet.ask(0, {"machine": "c2", "needs_s": 300})
+    fleet.request_work(0, {"machine": "c2", "needs_s": 300})
     time.sleep(3.0)
     number, orders, _ = fleet.orders(0)
     assert orders["c2"].state == work_orders.NEXT and orders["c2"].note == "r3 has not heard of it"
@@ -282,7 +282,7 @@
     first, _ = fleet.wait_for_coordinator()
     full = (first + 1) % 3
     resource.prlimit(fleet.all[full].process.pid, resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))  # no file grows past that
-    fleet.ask(first, {"machine": "c1", "needs_s": 300})
+    fleet.request_work(first, {"machine": "c1", "needs_s": 300})
     time.sleep(3.0)
     _, orders, _ = fleet.orders(first)
     assert orders["c1"].state == work_orders.NEXT and orders["c1"].note == f"r{full} has not heard of it"
