--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -22,7 +22,7 @@
         self.folder, self.many, self.disk, self.fleet_settings = folder, many, disk, fleet
         library = shim.build(folder) if failing else None
         self.shims = [shim.Shim(folder, library, n, 1) for n in range(many)] if failing else []
-        self.asked = {n: [] for n in range(many)}
+        self.work_requests = {n: [] for n in range(many)}
         self.names = [f"r{n}" for n in range(many)]
         self.ports = [free_port(HOST) for _ in range(many)]
         self.links = {(a, b): Link((HOST, self.ports[b])) for a in range(many) for b in range(many) if a != b}
@@ -37,7 +37,7 @@
         fleet = {
             "name": "valley",
             "lease_s": 1.0,
-            "work": self.asked[n],
+            "work": self.work_requests[n],
             **self.fleet_settings,
             "members": {
                 name: (f"{HOST}:{self.ports[m]}" if m == n else f"127.0.0.1:{self.links[n, m].port}") + f" z{m % 2}"
@@ -81,7 +81,7 @@
 
     def request_work(self, n, *rows):
         """The operators' file of one router asks for this from now on."""
-        self.asked[n] = list(rows)
+        self.work_requests[n] = list(rows)
         self.reload(n)
 
     def settle(self):
