--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -72,7 +72,7 @@
             return "event=founding" in self.all[n].lines()
 
         until(begun, "a fleet that begins")
-        until(lambda: all(self.published_line(m)["register"]["life"] for m in self.settle()), "all members with a life")
+        until(lambda: all(self.published_line(m)["register"]["life"] for m in self.voters()), "all members with a life")
         return self.wait_for_coordinator()
 
     def reload(self, n, **more):
@@ -84,7 +84,7 @@
         self.work_requests[n] = list(rows)
         self.reload(n)
 
-    def settle(self):
+    def voters(self):
         return [n for n, name in enumerate(self.names) if name in self.fleet_settings.get("votes", self.names)]
 
     def orders(self, n):
