--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -19,7 +19,7 @@
     """`many` processes; member a reads member b through a link of its own. `failing`: their system calls can be made to fail (`shims`)."""
 
     def __init__(self, folder, many, disk=False, caches=1, failing=False, **fleet):
-        self.folder, self.many, self.disk, self.fleet_settings = folder, many, disk, fleet
+        self.folder, self.count, self.disk, self.fleet_settings = folder, many, disk, fleet
         library = shim.build(folder) if failing else None
         self.shims = [shim.Shim(folder, library, n, 1) for n in range(many)] if failing else []
         self.work_requests = {n: [] for n in range(many)}
@@ -63,7 +63,7 @@
         self.all[n].process.wait()
 
     def found_fleet(self, n=0):
-        until(lambda: all(self.published_line(m) for m in range(self.many)), "all members")
+        until(lambda: all(self.published_line(m) for m in range(self.count)), "all members")
 
         def begun():
             for first, wait in ((False, 0.1), (True, 0.5)):
@@ -115,7 +115,7 @@
     def wait_for_coordinator(self, but=()):
         """The one member that acts, and how long until it did."""
         began = time.monotonic()
-        one = until(lambda: [n for n in range(self.many) if n not in but and self.is_coordinator(n)], "a member that acts")
+        one = until(lambda: [n for n in range(self.count) if n not in but and self.is_coordinator(n)], "a member that acts")
         return one[0], time.monotonic() - began
 
     def end(self):
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -18,11 +18,11 @@
 
     def __init__(self, fleet):
         self.fleet, self.going, self.came = fleet, True, []
-        self.answers = dict.fromkeys(range(fleet.many), 0)
+        self.answers = dict.fromkeys(range(fleet.count), 0)
         self.codes = []
         for at, cache in enumerate(fleet.caches):
             cache.says = lambda want, at=at: self.says(at, want)
-        self.threads = [threading.Thread(target=self.run, args=(n,), daemon=True) for n in range(fleet.many)]
+        self.threads = [threading.Thread(target=self.run, args=(n,), daemon=True) for n in range(fleet.count)]
         for thread in self.threads:
             thread.start()
 
