--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -29,7 +29,7 @@
         self.clocks = [SettableClock(folder / f"clock{n}") for n in range(many)]
         self.caches, self.board = [Cache() for _ in range(caches)], Notices()
         self.all = [self.start(n) for n in range(many)]
-        self.old = []
+        self.replaced_services = []
 
     def wishes(self, n, **more):
         folder = self.folder / f"r{n}"
@@ -55,7 +55,7 @@
         return Service(self.folder / f"r{n}", self.caches, self.board, wishes, name=self.names[n], settings=quick, env=env)
 
     def restart(self, n):
-        self.old.append(self.all[n])
+        self.replaced_services.append(self.all[n])
         self.all[n] = self.start(n)
 
     def kill(self, n):
@@ -119,7 +119,7 @@
         return one[0], time.monotonic() - began
 
     def end(self):
-        for service in self.all + self.old:
+        for service in self.all + self.replaced_services:
             service.process.send_signal(signal.SIGCONT)
             service.process.kill()
             service.process.wait()
