--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -112,10 +112,10 @@
         found = [line for line in self.all[n].lines().splitlines() if "event=acting" in line or "event=acts_no_more" in line]
         return bool(found) and "event=acting" in found[-1]
 
-    def wait_for_coordinator(self, but=()):
+    def wait_for_coordinator(self, excluding=()):
         """The one member that acts, and how long until it did."""
         began = time.monotonic()
-        one = until(lambda: [n for n in range(self.count) if n not in but and self.is_coordinator(n)], "a member that acts")
+        one = until(lambda: [n for n in range(self.count) if n not in excluding and self.is_coordinator(n)], "a member that acts")
         return one[0], time.monotonic() - began
 
     def end(self):
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -16,7 +16,7 @@
     assert not any(fleet.published_line(n)["register"]["life"] for n in range(3)) and not any(fleet.is_coordinator(n) for n in range(3))
     first, _ = fleet.found_fleet(1)
     fleet.kill(first)
-    second, took = fleet.wait_for_coordinator(but=[first])
+    second, took = fleet.wait_for_coordinator(excluding=[first])
     assert second != first and took < 5
     fleet.restart(first)
     until(lambda: fleet.published_line(first) and fleet.published_line(first)["register"]["life"] > 1, "a member that counts again")
@@ -30,7 +30,7 @@
     fleet = routers(3)
     first, _ = fleet.found_fleet()
     fleet.all[first].process.send_signal(signal.SIGSTOP)
-    second, _ = fleet.wait_for_coordinator(but=[first])
+    second, _ = fleet.wait_for_coordinator(excluding=[first])
     fleet.all[first].process.send_signal(signal.SIGCONT)
     until(lambda: not fleet.is_coordinator(first), "word of the end of its lease")
     until(lambda: fleet.published_line(first)["register"]["promised"] == fleet.published_line(second)["register"]["promised"])
@@ -73,7 +73,7 @@
     for n in range(3):
         if n != first:
             fleet.links[n, first].stalled.set()  # it hears them, they do not hear it
-    second, _ = fleet.wait_for_coordinator(but=[first])
+    second, _ = fleet.wait_for_coordinator(excluding=[first])
     until(lambda: not fleet.is_coordinator(first))
     for link in fleet.links.values():
         link.stalled.clear()
@@ -87,7 +87,7 @@
     for (a, b), link in fleet.links.items():
         if first in (a, b):
             link.cuts(True)
-    second, _ = fleet.wait_for_coordinator(but=[first])
+    second, _ = fleet.wait_for_coordinator(excluding=[first])
     until(lambda: not fleet.is_coordinator(first))
     for link in fleet.links.values():
         link.cuts(False)
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -173,7 +173,7 @@
     until(lambda: fleet.state(other, "c0") in (work_orders.GOING, work_orders.OUT), "a machine that goes")
     fleet.kill(first)
     at = out_since(fleet, other, "c0")
-    fleet.wait_for_coordinator(but=[first])
+    fleet.wait_for_coordinator(excluding=[first])
     fleet.restart(first)
     until(lambda: fleet.state(other, "c0") == work_orders.FREE, "word that it is free")
     fleet.all[first].client()  # it serves again, and knows what is out
