--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -52,5 +52,5 @@
     yield make
     for one in made:
         one.end()
-        for service in one.all:
+        for service in one.services:
             assert not any(f"event={word}" in service.lines() for word in ("crashed", "broken", "contained"))
--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -28,7 +28,7 @@
         self.links = {(a, b): Link((HOST, self.ports[b])) for a in range(many) for b in range(many) if a != b}
         self.clocks = [SettableClock(folder / f"clock{n}") for n in range(many)]
         self.caches, self.board = [Cache() for _ in range(caches)], Notices()
-        self.all = [self.start(n) for n in range(many)]
+        self.services = [self.start(n) for n in range(many)]
         self.replaced_services = []
 
     def wishes(self, n, **more):
@@ -55,12 +55,12 @@
         return Service(self.folder / f"r{n}", self.caches, self.board, wishes, name=self.names[n], settings=quick, env=env)
 
     def restart(self, n):
-        self.replaced_services.append(self.all[n])
-        self.all[n] = self.start(n)
+        self.replaced_services.append(self.services[n])
+        self.services[n] = self.start(n)
 
     def kill(self, n):
-        self.all[n].process.kill()
-        self.all[n].process.wait()
+        self.services[n].process.kill()
+        self.services[n].process.wait()
 
     def found_fleet(self, n=0):
         until(lambda: all(self.published_line(m) for m in range(self.count)), "all members")
@@ -69,15 +69,15 @@
             for first, wait in ((False, 0.1), (True, 0.5)):
                 self.reload(n, first=first)
                 time.sleep(wait)
-            return "event=founding" in self.all[n].lines()
+            return "event=founding" in self.services[n].lines()
 
         until(begun, "a fleet that begins")
         until(lambda: all(self.published_line(m)["register"]["life"] for m in self.voters()), "all members with a life")
         return self.wait_for_coordinator()
 
     def reload(self, n, **more):
-        self.all[n].wishes(self.wishes(n, **more))
-        self.all[n].process.send_signal(signal.SIGHUP)
+        self.services[n].wishes(self.wishes(n, **more))
+        self.services[n].process.send_signal(signal.SIGHUP)
 
     def request_work(self, n, *rows):
         """The operators' file of one router asks for this from now on."""
@@ -109,7 +109,7 @@
             return None
 
     def is_coordinator(self, n):
-        found = [line for line in self.all[n].lines().splitlines() if "event=acting" in line or "event=acts_no_more" in line]
+        found = [line for line in self.services[n].lines().splitlines() if "event=acting" in line or "event=acts_no_more" in line]
         return bool(found) and "event=acting" in found[-1]
 
     def wait_for_coordinator(self, excluding=()):
@@ -119,7 +119,7 @@
         return one[0], time.monotonic() - began
 
     def end(self):
-        for service in self.all + self.replaced_services:
+        for service in self.services + self.replaced_services:
             service.process.send_signal(signal.SIGCONT)
             service.process.kill()
             service.process.wait()
--- a/tests/test_fleet_disk.py
+++ b/tests/test_fleet_disk.py
@@ -46,7 +46,7 @@
         fleet.shims[n].rate("disk", 1000)
     for n in range(3):
         fleet.restart(n)
-    assert all(served(fleet.all[n]) for n in range(3))
+    assert all(served(fleet.services[n]) for n in range(3))
     assert all(fleet.shims[n].fired()["disk"] for n in range(3))
     assert not any(fleet.published_line(n) for n in range(3))  # what it may have promised is not known
     for n in range(3):
@@ -55,7 +55,7 @@
     assert [fleet.published_line(n)["register"]["life"] for n in range(3)] == [1, 1, 1]
     fleet.wait_for_coordinator()
     assert max(fleet.published_line(n)["register"]["promised"] for n in range(3)) > promised
-    assert not any("store_spoilt" in fleet.all[n].lines() for n in range(3))
+    assert not any("store_spoilt" in fleet.services[n].lines() for n in range(3))
 
 
 def test_a_router_that_starts_for_the_first_time_on_a_failing_disk_serves_and_is_there_once_it_works(routers):
@@ -66,7 +66,7 @@
         path.unlink()
     fleet.shims[0].rate("disk", 1000)
     fleet.restart(0)
-    assert served(fleet.all[0])
+    assert served(fleet.services[0])
     fleet.shims[0].rate("disk", 0)
     nonce = until(lambda: fleet.published_line(0))["register"]["nonce"]
     until(
@@ -87,7 +87,7 @@
         fleet.shims[n].rate("disk", 1000)
     for n in range(3):
         fleet.restart(n)
-    assert all(served(fleet.all[n]) for n in range(3))
+    assert all(served(fleet.services[n]) for n in range(3))
     time.sleep(1.0)
     said = [fleet.published_line(n) for n in range(3)]
     assert not any(one and one["register"]["nonce"] in before for one in said)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -21,7 +21,7 @@
     fleet.restart(first)
     until(lambda: fleet.published_line(first) and fleet.published_line(first)["register"]["life"] > 1, "a member that counts again")
     assert fleet.published_line(first)["register"]["promised"][1] == second
-    client = fleet.all[first].client()  # and it serves
+    client = fleet.services[first].client()  # and it serves
     client.ask(1)
     assert client.get()[2] == 79
 
@@ -29,9 +29,9 @@
 def test_a_stopped_holder_acts_no_more_once_it_goes_on(routers):
     fleet = routers(3)
     first, _ = fleet.found_fleet()
-    fleet.all[first].process.send_signal(signal.SIGSTOP)
+    fleet.services[first].process.send_signal(signal.SIGSTOP)
     second, _ = fleet.wait_for_coordinator(excluding=[first])
-    fleet.all[first].process.send_signal(signal.SIGCONT)
+    fleet.services[first].process.send_signal(signal.SIGCONT)
     until(lambda: not fleet.is_coordinator(first), "word of the end of its lease")
     until(lambda: fleet.published_line(first)["register"]["promised"] == fleet.published_line(second)["register"]["promised"])
     assert fleet.is_coordinator(second)
@@ -45,7 +45,7 @@
     for n in (0, 1):
         fleet.restart(n)
     for n in (0, 1):
-        client = fleet.all[n].client()
+        client = fleet.services[n].client()
         client.ask(1)
         assert client.get()[2] == 79
     time.sleep(3.0)
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -34,7 +34,7 @@
         stream = n << 20
         while self.going:
             try:
-                client = Client(self.fleet.all[n].address)
+                client = Client(self.fleet.services[n].address)
                 client.sock.settimeout(4)
                 while self.going:
                     stream += 1
@@ -96,7 +96,7 @@
     restarted(fleet, "c1")
     until(lambda: all(fleet.state(n, "c1") == work_orders.DONE for n in range(3)), "its end")
     assert crowd.to("c1", at + GRACE)
-    lines = fleet.all[0].lines()
+    lines = fleet.services[0].lines()
     for state in (work_orders.GOING, work_orders.OUT, work_orders.FREE, work_orders.BACK):
         assert "event=work order=" in lines and f"state={state}" in lines
     assert crowd.codes.count(79) > 0.95 * len(crowd.codes)
@@ -141,11 +141,11 @@
     fleet, crowd = crowded(3)
     first, _ = fleet.wait_for_coordinator()
     still, go = told_what_is_next(fleet, first, "c2")
-    fleet.all[still].process.send_signal(signal.SIGSTOP)
+    fleet.services[still].process.send_signal(signal.SIGSTOP)
     go()
     at = out_since(fleet, first, "c2")
     time.sleep(1.0)
-    fleet.all[still].process.send_signal(signal.SIGCONT)
+    fleet.services[still].process.send_signal(signal.SIGCONT)
     until(lambda: fleet.state(still, "c2") in (work_orders.OUT, work_orders.FREE), "word of what went")
     time.sleep(0.5)
     assert not crowd.to("c2", at + GRACE)
@@ -155,11 +155,11 @@
     fleet, crowd = crowded(3)
     first, _ = fleet.wait_for_coordinator()
     still = (first + 1) % 3
-    fleet.all[still].process.send_signal(signal.SIGSTOP)
+    fleet.services[still].process.send_signal(signal.SIGSTOP)
     fleet.request_work(first, {"machine": "c3", "needs_s": 300})
     time.sleep(3)
     assert fleet.state(first, "c3") == work_orders.NEXT, fleet.orders(first)
-    fleet.all[still].process.send_signal(signal.SIGCONT)
+    fleet.services[still].process.send_signal(signal.SIGCONT)
     at = out_since(fleet, first, "c3")
     time.sleep(1.0)
     assert not crowd.to("c3", at + GRACE)
@@ -176,7 +176,7 @@
     fleet.wait_for_coordinator(excluding=[first])
     fleet.restart(first)
     until(lambda: fleet.state(other, "c0") == work_orders.FREE, "word that it is free")
-    fleet.all[first].client()  # it serves again, and knows what is out
+    fleet.services[first].client()  # it serves again, and knows what is out
     time.sleep(1.0)
     assert not crowd.to("c0", at + GRACE)
     restarted(fleet, "c0")
@@ -190,7 +190,7 @@
     for n in range(3):
         fleet.kill(n)
         fleet.restart(n)
-        fleet.all[n].client()
+        fleet.services[n].client()
     time.sleep(1.0)
     assert not crowd.to("c0", at + GRACE) and [fleet.state(n, "c0") for n in range(3)] == [work_orders.FREE] * 3
 
@@ -232,19 +232,19 @@
     for (a, b), link in fleet.links.items():
         if alone in (a, b):
             link.cuts(True)
-    until(lambda: "event=shut" in fleet.all[alone].lines(), "a router that serves nothing")
+    until(lambda: "event=shut" in fleet.services[alone].lines(), "a router that serves nothing")
     fleet.request_work(first, {"machine": "c1", "needs_s": 300})
     at = out_since(fleet, first, "c1")
-    client = Client(fleet.all[alone].address)
+    client = Client(fleet.services[alone].address)
     began = time.monotonic()
     client.ask(1, txn="f" * 16)
     answer = client.get()
     assert answer[2] == 66 and int(answer[3]["later"]) > 0 and time.monotonic() - began < 0.3
     fleet.kill(alone)
     fleet.restart(alone)  # that it starts anew, and hears nobody, makes it no wiser
-    client = fleet.all[alone].client()
+    client = fleet.services[alone].client()
     client.ask(1, txn="e" * 16)
-    said = fleet.all[alone].lines()
+    said = fleet.services[alone].lines()
     assert client.get()[2] == 66 and said.rindex("event=shut") > said.rindex("event=open")
     served = crowd.answers[alone]
     for link in fleet.links.values():
@@ -271,7 +271,7 @@
     fleet.fleet_settings.pop("left")
     fleet.reload(1)
     fleet.restart(3)
-    fleet.all[3].client()
+    fleet.services[3].client()
     time.sleep(1.0)
     assert not crowd.to("c2", at + GRACE)
     until(lambda: crowd.answers[3] > 0 and fleet.state(0, "c2") == work_orders.FREE, "word that it is free")
@@ -281,13 +281,13 @@
     fleet, crowd = crowded(3, disk=True)
     first, _ = fleet.wait_for_coordinator()
     full = (first + 1) % 3
-    resource.prlimit(fleet.all[full].process.pid, resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))  # no file grows past that
+    resource.prlimit(fleet.services[full].process.pid, resource.RLIMIT_FSIZE, (4096, resource.RLIM_INFINITY))  # no file grows past that
     fleet.request_work(first, {"machine": "c1", "needs_s": 300})
     time.sleep(3.0)
     _, orders, _ = fleet.orders(first)
     assert orders["c1"].state == work_orders.NEXT and orders["c1"].note == f"r{full} has not heard of it"
     served = crowd.answers[full]
-    resource.prlimit(fleet.all[full].process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
+    resource.prlimit(fleet.services[full].process.pid, resource.RLIMIT_FSIZE, (resource.RLIM_INFINITY, resource.RLIM_INFINITY))
     at = out_since(fleet, first, "c1")
     time.sleep(1.0)
     assert not crowd.to("c1", at + GRACE) and crowd.answers[full] > served
