--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -31,7 +31,7 @@
         self.services = [self.start(n) for n in range(many)]
         self.replaced_services = []
 
-    def wishes(self, n, **more):
+    def operators_file(self, n, **more):
         folder = self.folder / f"r{n}"
         folder.mkdir(exist_ok=True)
         fleet = {
@@ -47,7 +47,7 @@
         return {"fleet": fleet | ({"folder": str(folder)} if self.disk else {}) | more}
 
     def start(self, n):
-        wishes = self.wishes(n)
+        wishes = self.operators_file(n)
         quick = settings()
         quick["guarantees"] |= {"rampTimeUs": 1_000_000}  # from cold to full
         quick["familyInfo"] |= {"parentRampUs": 1_000_000}
@@ -76,7 +76,7 @@
         return self.wait_for_coordinator()
 
     def reload(self, n, **more):
-        self.services[n].wishes(self.wishes(n, **more))
+        self.services[n].wishes(self.operators_file(n, **more))
         self.services[n].process.send_signal(signal.SIGHUP)
 
     def request_work(self, n, *rows):
--- a/tests/test_fleet_desk.py
+++ b/tests/test_fleet_desk.py
@@ -23,7 +23,7 @@
     fleet.found_fleet()
     files = [fleet.folder / f"r{n}" / "operators.json" for n in range(3)]
     for n, path in enumerate(files):
-        path.write_text(json.dumps(fleet.wishes(n)))
+        path.write_text(json.dumps(fleet.operators_file(n)))
     rows = json.loads(call("show", "--operators", files[0], "--json"))
     assert [row["counts"] for row in rows] == [True] * 3 and sum(row["acts"] for row in rows) == 1
     assert "nothing is asked for" in call("work", "show", "--operators", files[0])
@@ -52,7 +52,7 @@
     fleet = routers(4, votes=["r0", "r1", "r2"])
     fleet.found_fleet()
     file = fleet.folder / "r0" / "operators.json"
-    file.write_text(json.dumps(fleet.wishes(0)))
+    file.write_text(json.dumps(fleet.operators_file(0)))
 
     def row():
         return json.loads(call("show", "--operators", file, "--json"))[3]
