--- a/fieldspur/fleet/__init__.py
+++ b/fieldspur/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What routers settle among themselves: decisions free of I/O; the router itself does not import it."""
+"""How the routers of a fleet agree among themselves and coordinate work on machines. Imported only by a router that has a fleet."""
--- a/fieldspur/fleet/consensus.py
+++ b/fieldspur/fleet/consensus.py
@@ -1,11 +1,13 @@
-"""Agreement among members that may lose their memory. Free of I/O, of clocks and of chance: each member has one register
-that it alone writes and all others read, late or never, in order. `step` gives the register that follows from what a
-member sees.
-
-The one agreed thing is a value that is replaced by its successor, number by number. Single-writer registers: Gafni and
-Lamport, "Disk Paxos" (2003). Coming back without a disk: Liskov and Cowling, "Viewstamped Replication Revisited" (2012), with
-the vectors of lives of Michael, Ports, Sharma and Szekeres, "Recovering Shared Objects Without Stable Storage" (2017): what
-an older life promised counts for nothing beside a register that knows of a later one. `docs/design/fleet.md` weighs them.
+"""Consensus among members that may lose their memory. This module has no I/O, clock or randomness. Each member has one register
+that only this member writes. All others read it, possibly late or never, but in order. `step` computes the register that
+follows from what a member has read of the others.
+
+The members agree on one value, which is replaced by its successor again and again. Single-writer registers: Gafni and Lamport,
+"Disk Paxos" (2003). Rejoining without a disk: Liskov and Cowling, "Viewstamped Replication Revisited" (2012), with the
+incarnation vectors of Michael, Ports, Sharma and Szekeres, "Recovering Shared Objects Without Stable Storage" (2017): a promise
+from an older incarnation is void beside a register that knows of a later one. `docs/design/fleet.md` compares these methods.
+
+A member's incarnation (`life` in the published registers) is a number that rises each time the member rejoins after losing its memory.
 """
 
 from __future__ import annotations
@@ -13,14 +15,14 @@
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
-Ballot = tuple  # (round, member): who asks in which round; greater ones bind
-Stamp = tuple  # (round, member, number): the ballot and how many values its owner has said under it before
+Ballot = tuple  # (round, member): the round and the member that requests it; members prefer the greater ballot
+Stamp = tuple  # (round, member, number): the ballot and how many values its owner proposed under it before this one
 NO_BALLOT: Ballot = (0, -1)
 NO_STAMP: Stamp = (0, -1, -1)
 
 
 class StampedValue(NamedTuple):
-    """A value and the mark under which its proposer said it. `value` is None before the first."""
+    """A proposed value and the stamp of its proposal. `value` is None before the first proposal."""
 
     stamp: Stamp = NO_STAMP
     value: Any = None
@@ -30,129 +32,131 @@
 
 
 class Register(NamedTuple):
-    """All that a member publishes. `life` is 0 while it is blank: it knows nothing and counts for nothing. `back` is the
-    life with which a blank one wants to come back, `seen` by member the (nonce, back) last read there, `lives` by member
-    the latest life it knows of."""
+    """All that a member publishes. The field names are keys of published lines and of stored registers, so they don't change."""
 
     member: int
-    nonce: int  # of this process, drawn anew at each start
-    seen: tuple
-    lives: tuple
-    life: int = 0
-    back: int = 0
-    asked: Ballot = NO_BALLOT  # the latest ballot it asked for itself
+    nonce: int  # identifies this process; drawn anew at each start
+    seen: tuple  # by member: the (nonce, back) that this member last read in the register of that member
+    lives: tuple  # by member: the latest incarnation that this member knows of
+    life: int = 0  # own incarnation; 0 while the register is blank: it knows nothing and is not counted in a majority
+    back: int = 0  # the incarnation with which a blank member wants to rejoin
+    asked: Ballot = NO_BALLOT  # the latest ballot that this member requested for itself
     promised: Ballot = NO_BALLOT
     accepted: StampedValue = NO_VALUE
-    said: StampedValue = NO_VALUE  # what it proposes under its own ballot
+    said: StampedValue = NO_VALUE  # the value that this member proposes under its own ballot
     decided: StampedValue = NO_VALUE
-    founding: tuple = ()  # the nonces of all, where an operator said that there has been no fleet before
+    founding: tuple = ()  # the nonces of all members, set when an operator declares that no fleet existed before
 
 
 def blank_register(member: int, members: int, nonce: int) -> Register:
-    """A member that knows nothing, at its first start or after it lost its memory."""
+    """The register of a member that knows nothing: at its first start, or after it lost its memory."""
     return Register(member, nonce, ((0, 0),) * members, (0,) * members)
 
 
-def resume(kept: Register, nonce: int) -> Register:
-    """A member that starts again with its memory: the same life, a new process. Of ballots of its own it asks anew, for what
-    was said back to the process before, a lease's ticks above all, is not for this one."""
-    return kept._replace(nonce=nonce, asked=NO_BALLOT, said=NO_VALUE, founding=())
+def resume(stored: Register, nonce: int) -> Register:
+    """The register of a member that restarts with its memory: the same incarnation, a new process. It requests its own ballots anew,
+    because acknowledgements to the previous process, above all those of lease ticks, don't apply to this one."""
+    return stored._replace(nonce=nonce, asked=NO_BALLOT, said=NO_VALUE, founding=())
 
 
 def majority(members: int) -> int:
     return members // 2 + 1
 
 
-def consistent(registers: Sequence[Register]) -> list[Register]:
-    """Those of which no other one knows a later life: what an older life said is void beside them."""
-    return [one for one in registers if all(other.lives[one.member] <= one.life for other in registers)]
+def current_incarnations(registers: Sequence[Register]) -> list[Register]:
+    """The registers of which none of the others knows a later incarnation. A register of an older incarnation is void beside those."""
+    return [register for register in registers if all(other.lives[register.member] <= register.life for other in registers)]
 
 
-def promises(views: Sequence[Register | None], ballot: Ballot) -> list[Register]:
-    """The members whose promise of `ballot` counts together."""
-    return consistent([one for one in views if one is not None and one.life and one.promised == ballot])
+def promising_registers(views: Sequence[Register | None], ballot: Ballot) -> list[Register]:
+    """The registers whose promises of `ballot` count together."""
+    return current_incarnations([view for view in views if view is not None and view.life and view.promised == ballot])
 
 
-def acceptances(views: Sequence[Register | None], stamp: Stamp) -> list[Register]:
-    """The members whose acceptance of `mark` counts together. One that has promised a later ballot does not: it may
-    have taken over the acceptance from another, after its promise, when it came back."""
-    return consistent([one for one in views if one is not None and one.life and one.accepted.stamp == stamp and one.promised == stamp[:2]])
+def accepting_registers(views: Sequence[Register | None], stamp: Stamp) -> list[Register]:
+    """The registers whose acceptances of `stamp` count together. A member that has promised a later ballot is not counted: it may
+    have copied the acceptance from another member when it rejoined, after it had given its promise."""
+    return current_incarnations(
+        [view for view in views if view is not None and view.life and view.accepted.stamp == stamp and view.promised == stamp[:2]]
+    )
 
 
-def fresh(me: Register, one: Register) -> bool:
-    """That register was written after its member had read this process of `me`."""
-    return one.seen[me.member][0] == me.nonce
+def has_read_this_process(me: Register, other: Register) -> bool:
+    """Whether `other` was written after its member had read a register of this process of `me`."""
+    return other.seen[me.member][0] == me.nonce
 
 
-def nonces(registers: Sequence[Register]) -> tuple:
-    """Which processes these are, by member."""
-    return tuple(one.nonce for one in sorted(registers, key=lambda one: one.member))
+def process_nonces(registers: Sequence[Register]) -> tuple:
+    """The nonces of the processes that wrote these registers, in the order of members."""
+    return tuple(register.nonce for register in sorted(registers, key=lambda register: register.member))
 
 
-def fenced(me: Register, views: Sequence[Register | None]) -> bool:
-    """Another member knows a later life of this one: it is a process of old that went on, and must end."""
-    return me.life > 0 and any(one is not None and one.lives[me.member] > me.life for one in views)
+def is_fenced(me: Register, views: Sequence[Register | None]) -> bool:
+    """Whether another member knows a later incarnation of this one: this is an outdated process that kept running and must stop."""
+    return me.life > 0 and any(view is not None and view.lives[me.member] > me.life for view in views)
 
 
-def note(me: Register, views: Sequence[Register | None]) -> Register:
-    """What it read is said back, and later lives are remembered from then on, in the same register as its state."""
+def record_views(me: Register, views: Sequence[Register | None]) -> Register:
+    """Acknowledges in `me` what was read of the others, and stores later incarnations in the same register as its other state."""
     seen, lives = list(me.seen), list(me.lives)
-    for one in views:
-        if one is None or one.member == me.member:
+    for view in views:
+        if view is None or view.member == me.member:
             continue
-        seen[one.member] = (one.nonce, one.back)
+        seen[view.member] = (view.nonce, view.back)
         if me.life:
-            for member, life in enumerate(one.lives):
+            for member, life in enumerate(view.lives):
                 lives[member] = max(lives[member], life)
-            lives[one.member] = max(lives[one.member], one.back, one.life)
+            lives[view.member] = max(lives[view.member], view.back, view.life)
     return me._replace(seen=tuple(seen), lives=tuple(lives))
 
 
-def come_back(me: Register, views: Sequence[Register | None], may_return: bool = True) -> Register:
-    """A blank member learns from a majority that has not forgotten, twice: which life it is in, and, once that majority
-    has that life in its registers, what it may have promised. Where all are blank it waits for an operator's word."""
-    members, others = len(views), [one for one in views if one is not None and one.member != me.member]
-    known = [one for one in others if fresh(me, one)]
+def rejoin(me: Register, views: Sequence[Register | None], may_rejoin: bool = True) -> Register:
+    """The next step of a blank member. It reads twice from a majority that still has its memory: first which incarnation it is in,
+    then, once the registers of that majority contain this incarnation, what it may have promised. Where all members are blank, it
+    waits until an operator founds the fleet."""
+    members, others = len(views), [view for view in views if view is not None and view.member != me.member]
+    known = [other for other in others if has_read_this_process(me, other)]
     if len(known) == members - 1 and not me.back:
-        these = nonces([me, *known])
-        if all(one.founding == these for one in (me, *known)):
+        nonces = process_nonces([me, *known])
+        if all(register.founding == nonces for register in (me, *known)):
             return me._replace(life=1, lives=(1,) * members)
-        if me.founding != these:
-            named = any(one.founding == these for one in known) and not any(one.life or one.back for one in known)
-            me = me._replace(founding=these if named else ())
-    alive = [one for one in known if one.life]
-    if len(alive) < majority(members) or not may_return:
+        if me.founding != nonces:
+            is_founding = any(other.founding == nonces for other in known) and not any(other.life or other.back for other in known)
+            me = me._replace(founding=nonces if is_founding else ())
+    alive = [other for other in known if other.life]
+    if len(alive) < majority(members) or not may_rejoin:
         return me
     if not me.back:
-        return me._replace(back=max(one.lives[me.member] for one in alive) + 1)
-    know = consistent([one for one in alive if one.seen[me.member] == (me.nonce, me.back)])
-    if len(know) < majority(members):
+        return me._replace(back=max(other.lives[me.member] for other in alive) + 1)
+    informed = current_incarnations([other for other in alive if other.seen[me.member] == (me.nonce, me.back)])
+    if len(informed) < majority(members):
         return me
-    lives = [max(one.lives[member] for one in know) for member in range(members)]
+    lives = [max(other.lives[member] for other in informed) for member in range(members)]
     lives[me.member] = me.back
     return me._replace(
         life=me.back,
         lives=tuple(lives),
-        promised=max(one.promised for one in know),
-        accepted=max((one.accepted for one in know), key=lambda said: said.stamp),
-        decided=max((one.decided for one in know), key=lambda said: said.stamp),
+        promised=max(other.promised for other in informed),
+        accepted=max((other.accepted for other in informed), key=lambda stamped: stamped.stamp),
+        decided=max((other.decided for other in informed), key=lambda stamped: stamped.stamp),
     )
 
 
-def found(me: Register, views: Sequence[Register | None]) -> Register:
-    """An operator says here that there has been no fleet before. Raises ValueError, whose text says why not, unless all
-    members are there and none knows anything. The word holds for these processes only."""
-    others = [one for one in views if one is not None and one.member != me.member]
-    if me.life or any(one.life or one.back for one in others):
+def found_fleet(me: Register, views: Sequence[Register | None]) -> Register:
+    """An operator declares at this member that no fleet existed before. Raises ValueError with the reason unless all members
+    are present and all are blank. The declaration holds for exactly these processes."""
+    others = [view for view in views if view is not None and view.member != me.member]
+    if me.life or any(other.life or other.back for other in others):
         raise ValueError("there is a fleet: a member that forgot it comes back by what a majority knows")
-    missing = [str(n) for n, one in enumerate(views) if n != me.member and (one is None or not fresh(me, one))]
+    missing = [str(n) for n, view in enumerate(views) if n != me.member and (view is None or not has_read_this_process(me, view))]
     if missing:
         raise ValueError(f"not all members are there, missing: {', '.join(missing)}")
-    return me._replace(founding=nonces([me, *others]))
+    return me._replace(founding=process_nonces([me, *others]))
 
 
-def ask(me: Register, above: Ballot = NO_BALLOT) -> Register:
-    """It wants to act for the fleet: a ballot above all it knows, and `above`. A blank member asks for nothing."""
+def request_ballot(me: Register, above: Ballot = NO_BALLOT) -> Register:
+    """The member asks to become the coordinator: it requests a ballot above all that it knows, and above `above`. A blank member
+    requests nothing."""
     if not me.life:
         return me
     ballot = (max(me.promised[0], me.asked[0], above[0]) + 1, me.member)
@@ -160,59 +164,61 @@
 
 
 def leads(me: Register, views: Sequence[Register | None]) -> bool:
-    """A majority keeps the promise of its ballot, as far as it sees."""
+    """Whether a majority has promised the ballot of `me`, as far as `views` show."""
     return (
         me.life > 0
         and me.promised == me.asked != NO_BALLOT
-        and (me.said.stamp[:2] == me.asked or len(promises(views, me.asked)) >= majority(len(views)))
+        and (me.said.stamp[:2] == me.asked or len(promising_registers(views, me.asked)) >= majority(len(views)))
     )
 
 
 def propose(me: Register, views: Sequence[Register | None], successor) -> Register:
-    """Its next word, where it has one: first what may have been decided before its ballot, then `successor(value)` of
-    what it got decided last; None where nothing is to follow. `views` holds its own register too."""
+    """The register with the next proposal of this member, if it has one. The first proposal under a ballot repeats the value that
+    may have been decided under an earlier ballot. Later ones are `successor(value)` of the value last decided; None means that no
+    value follows. `views` contains the member's own register too."""
     if not leads(me, views):
         return me
     if me.said.stamp[:2] != me.asked:
-        last = max((one.accepted for one in promises(views, me.asked)), key=lambda said: said.stamp)
+        last = max((view.accepted for view in promising_registers(views, me.asked)), key=lambda stamped: stamped.stamp)
         value = last.value if last.stamp != NO_STAMP else successor(None)
         if value is None:
             return me
-        said = StampedValue((*me.asked, 0), value)
+        proposal = StampedValue((*me.asked, 0), value)
     elif me.decided.stamp == me.said.stamp:
         value = successor(me.decided.value)
         if value is None:
             return me
-        said = StampedValue((*me.asked, me.said.stamp[2] + 1), value)
+        proposal = StampedValue((*me.asked, me.said.stamp[2] + 1), value)
     else:
         return me
-    return me._replace(said=said, accepted=said)
+    return me._replace(said=proposal, accepted=proposal)
 
 
-def always(ballot: Ballot) -> bool:
+def allow_any_ballot(ballot: Ballot) -> bool:
     return True
 
 
 def step(
-    me: Register, views: Sequence[Register | None], may_promise: Callable[[Ballot], bool] = always, may_return: bool = True
+    me: Register, views: Sequence[Register | None], may_promise: Callable[[Ballot], bool] = allow_any_ballot, may_rejoin: bool = True
 ) -> Register:
-    """What follows from what it sees, `views` by member with its own register among them; the same again adds nothing.
-    `may_promise(ballot)`: no lease that it backs forbids it; `may_return`: what it backed before it forgot has ended, for
-    a promise that it takes over when it comes back counts like one of its own."""
-    me = note(me, views)
+    """The register of `me` that follows from `views` (by member, its own register included). A second call with the same views
+    changes nothing. `may_promise(ballot)` says whether no lease that this member has acknowledged forbids the promise. `may_rejoin`
+    says whether any lease that it acknowledged before it lost its memory has ended: a promise that it copies when it rejoins counts
+    like a promise of its own."""
+    me = record_views(me, views)
     if not me.life:
-        return come_back(me, views, may_return)
-    for one in views:
-        if one is None or one.member == me.member or not one.life or one.life < me.lives[one.member]:
+        return rejoin(me, views, may_rejoin)
+    for view in views:
+        if view is None or view.member == me.member or not view.life or view.life < me.lives[view.member]:
             continue
-        if one.asked > me.promised and may_promise(one.asked):
-            me = me._replace(promised=one.asked)
-        if one.said.stamp > me.accepted.stamp and one.said.stamp[:2] >= me.promised:
-            me = me._replace(promised=one.said.stamp[:2], accepted=one.said)
-        if one.decided.stamp > me.decided.stamp:
-            me = me._replace(decided=one.decided)
+        if view.asked > me.promised and may_promise(view.asked):
+            me = me._replace(promised=view.asked)
+        if view.said.stamp > me.accepted.stamp and view.said.stamp[:2] >= me.promised:
+            me = me._replace(promised=view.said.stamp[:2], accepted=view.said)
+        if view.decided.stamp > me.decided.stamp:
+            me = me._replace(decided=view.decided)
     if me.said.stamp > me.decided.stamp and me.said.stamp[:2] == me.promised:
-        mine = [me if one is not None and one.member == me.member else one for one in views]
-        if len(acceptances(mine, me.said.stamp)) >= majority(len(views)):
+        current_views = [me if view is not None and view.member == me.member else view for view in views]
+        if len(accepting_registers(current_views, me.said.stamp)) >= majority(len(views)):
             me = me._replace(decided=me.said)
     return me
--- a/fieldspur/fleet/failure_detector.py
+++ b/fieldspur/fleet/failure_detector.py
@@ -1,10 +1,11 @@
-"""How likely each other member is gone, graded from when it was heard. Free of I/O; times in whole ns of one monotonic clock.
-
-Phi accrual (Hayashibara, Defago, Yared, Katayama, "The phi accrual failure detector", 2004), for a fixed time either takes a slow
-link for a dead member or a dead one for a slow link. Two things are added. Intervals are learned only within one
-process of the member: a restart is news, no long interval. And time for which this process itself stood still is no silence
-of the others: it is taken off, for they spoke while nobody here listened. Only who asks to act hangs on it; what is agreed
-never does.
+"""A failure detector: it grades how likely each other member has failed, from the times of the lines that arrived from it. This module
+does no I/O; times are whole ns of one monotonic clock.
+
+Phi accrual (Hayashibara, Defago, Yared, Katayama, "The phi accrual failure detector", 2004), because a fixed timeout
+mistakes either a slow link for a failed member or a failed member for a slow link. Two things are added. Intervals are learned
+only within one process of a member, because the pause around a restart is no ordinary interval. And time during which this process
+itself was stopped is subtracted from the silence of the others, because they may have sent while nothing was read here.
+Suspicion only influences which member asks to become the coordinator; the safety of the consensus does not depend on it.
 """
 
 from __future__ import annotations
@@ -12,73 +13,76 @@
 import math
 from collections import deque
 
-KEPT = 64  # intervals remembered
-FEWEST = 4  # before so many the first guess counts
-SPREAD = 0.25  # least standard deviation, as a share of the mean: lines come in bursts
-STILL = 4  # this process stood still where two of its looks lie so many times further apart than they should
-SUSPECT = 8.0  # phi from which a member counts as gone: one mistake in 10**8 intervals, were they normal
+MAX_INTERVALS = 64  # stored for each member
+MIN_INTERVALS = 4  # with fewer, the standard deviation is assumed to be half of the mean
+MIN_DEVIATION_SHARE = 0.25  # least standard deviation as a share of the mean, because lines arrive in bursts
+STANDSTILL_FACTOR = 4  # this process was stopped if a poll is late by this many poll intervals
+SUSPECT_PHI = 8.0  # a member is suspected from this phi on: one mistake in 10**8 intervals if they were normally distributed
 
 
-class Heard:
-    """One other member."""
+class IntervalHistory:
+    """When one other member was last heard from, and the intervals between its lines."""
 
-    def __init__(self, now: int, expected: int):
-        self.nonce, self.at, self.expected = 0, now, expected
-        self.intervals: deque = deque([expected], maxlen=KEPT)
+    def __init__(self, now: int, expected_interval: int):
+        self.nonce, self.last_at, self.expected_interval = 0, now, expected_interval
+        self.intervals: deque = deque([expected_interval], maxlen=MAX_INTERVALS)
 
     def record_line(self, nonce: int, now: int) -> None:
         if nonce == self.nonce:
-            self.intervals.append(max(self.expected, now - self.at))  # a burst teaches nothing: all speak each beat
-        self.nonce, self.at = nonce, now
+            self.intervals.append(max(self.expected_interval, now - self.last_at))  # members send each beat: shorter ones are bursts
+        self.nonce, self.last_at = nonce, now
 
     def phi(self, now: int) -> float:
-        """-log10 of how likely a living member is silent for that long."""
-        if now - self.at <= self.expected:  # no interval that was learned is shorter
+        """-log10 of the probability that a live member is silent for this long."""
+        if now - self.last_at <= self.expected_interval:  # no learned interval is shorter
             return 0.0
         mean = sum(self.intervals) / len(self.intervals)
-        if len(self.intervals) < FEWEST:
-            spread = mean / 2
+        if len(self.intervals) < MIN_INTERVALS:
+            deviation = mean / 2
         else:
-            spread = max(SPREAD * mean, math.sqrt(sum((one - mean) ** 2 for one in self.intervals) / len(self.intervals)))
-        y = (now - self.at - mean) / spread
-        if y <= 0:
+            deviation = max(
+                MIN_DEVIATION_SHARE * mean, math.sqrt(sum((interval - mean) ** 2 for interval in self.intervals) / len(self.intervals))
+            )
+        deviations_late = (now - self.last_at - mean) / deviation
+        if deviations_late <= 0:
             return 0.0
-        if y > 30:
+        if deviations_late > 30:
             return 300.0
-        later = math.erfc(y / math.sqrt(2)) / 2
-        return -math.log10(later) if later > 0 else 300.0
+        probability = math.erfc(deviations_late / math.sqrt(2)) / 2
+        return -math.log10(probability) if probability > 0 else 300.0
 
 
 class FailureDetector:
-    """All others: those that settle by number, those that follow by name. `expected` ns lie between two lines of one, `look` ns between
-    two calls of `looked`."""
+    """Watches all other members: voting members by number, followers by name. A member's lines are `expected_interval` ns apart;
+    `check_standstill` is called every `poll_interval` ns."""
 
-    def __init__(self, own: int, many: int, now: int, expected: int, look: int):
-        self.own, self.look, self.last, self.expected = own, look, now, expected
-        self.heard: dict = {n: Heard(now, expected) for n in range(many) if n != own}
+    def __init__(self, own: int, members: int, now: int, expected_interval: int, poll_interval: int):
+        self.own, self.poll_interval, self.last_poll_at, self.expected_interval = own, poll_interval, now, expected_interval
+        self.histories: dict = {n: IntervalHistory(now, expected_interval) for n in range(members) if n != own}
 
     def check_standstill(self, now: int) -> int:
-        """To be called every `look` ns; how long this process stood still before, which is nobody's silence."""
-        still, self.last = now - self.last - self.look, now
-        if still < STILL * self.look:
+        """To be called every `poll_interval` ns. Returns for how long this process was stopped since the last call; this time does not
+        count as silence of the others."""
+        stopped, self.last_poll_at = now - self.last_poll_at - self.poll_interval, now
+        if stopped < STANDSTILL_FACTOR * self.poll_interval:
             return 0
-        for one in self.heard.values():
-            one.at = min(now, one.at + still)
-        return still
+        for history in self.histories.values():
+            history.last_at = min(now, history.last_at + stopped)
+        return stopped
 
     def record_line(self, member, nonce: int, now: int) -> None:
-        if member not in self.heard:
-            self.heard[member] = Heard(now, self.expected)
-        self.heard[member].record_line(nonce, now)
+        if member not in self.histories:
+            self.histories[member] = IntervalHistory(now, self.expected_interval)
+        self.histories[member].record_line(nonce, now)
 
     def phi(self, member, now: int) -> float:
-        return 0.0 if member == self.own else self.heard[member].phi(now)
+        return 0.0 if member == self.own else self.histories[member].phi(now)
 
     def is_suspected(self, member, now: int) -> bool:
-        return self.phi(member, now) >= SUSPECT
+        return self.phi(member, now) >= SUSPECT_PHI
 
     def suspected(self, now: int) -> list:
-        return [member for member, one in self.heard.items() if one.phi(now) >= SUSPECT]
+        return [member for member, history in self.histories.items() if history.phi(now) >= SUSPECT_PHI]
 
     def forget(self, member) -> None:
-        self.heard.pop(member, None)
+        self.histories.pop(member, None)
--- a/fieldspur/fleet/lease.py
+++ b/fieldspur/fleet/lease.py
@@ -1,10 +1,10 @@
-"""Leases that end by themselves, by each member's own monotonic clock. Free of I/O; times are whole nanoseconds of that
-clock (one that counts on while a process is stopped), never compared between members.
+"""Leases that expire by themselves, measured by each member's own monotonic clock. This module does no I/O. Times are whole
+nanoseconds of that clock, which also advances while the process is stopped; times of two members are never compared.
 
-Who acts for the fleet publishes a rising number, its tick. Members say back which tick of which ballot they read last, and
-from that moment on promise no other member's ballot for the lease's length. So while a majority has said back a tick,
-nobody else can have a majority's promise until that length after the tick was published, at the earliest. Gray and
-Cheriton, "Leases" (1989), with the drift of clocks taken off at the holder.
+The member that holds a ballot publishes a rising heartbeat number, its tick. The other members acknowledge the ballot and the tick that
+they read last, and from then on they promise no other member's ballot for the length of the lease. So once a majority has
+acknowledged a tick, no other member can get the promises of a majority until at least that length after the tick was
+published. Gray and Cheriton, "Leases" (1989); the holder shortens its own lease by the possible drift between two clocks.
 """
 
 from __future__ import annotations
@@ -14,72 +14,74 @@
 
 from fieldspur.fleet.consensus import NO_BALLOT, Ballot, majority
 
-MAX_PENDING_TICKS = 64  # published and not yet said back; older ones count for nothing
+MAX_PENDING_TICKS = 64  # published ticks whose times are stored; acknowledgements of older ticks are ignored
 
 
-class Backs(NamedTuple):
-    """What a member says back: the ballot it backs and the last tick of it that it read."""
+class HeartbeatAck(NamedTuple):
+    """What a member acknowledges: the ballot that it supports, and the last tick under this ballot that it read."""
 
     ballot: Ballot = NO_BALLOT
     tick: int = 0
 
 
 class Lease:
-    """A member's side of both. `length` in ns; `drift` is the share by which two clocks may differ over it. `began` is
-    when this process started, 0 where there was none before it: what one before it backed is kept nowhere, so it promises
-    nothing for one length; nor does one that `forgot` its register come back before."""
+    """A member's state as a possible holder and as a supporter of the lease. `length` is in ns; `drift` is the share by which two
+    clocks may differ over that length. `started_at` is when this process started, 0 if no process ran before it. Acknowledgements
+    of a previous process are not stored, so this one promises nothing for the length of a lease. A member that `lost_memory`
+    also doesn't rejoin before that."""
 
-    def __init__(self, member: int, length: int, drift: float = 0.01, began: int = 0, forgot: bool = True):
+    def __init__(self, member: int, length: int, drift: float = 0.01, started_at: int = 0, lost_memory: bool = True):
         if length <= 0 or not 0 <= drift < 0.5:
             raise ValueError(f"length: {length} ns above 0 and drift: {drift} from 0 to below 0.5 wanted")
         self.member, self.length = member, length
-        self.held = int(length * (1 - drift))  # what a holder counts on
-        self.backs, self.backed = Backs(), began + length if began else 0  # until when it promises nobody else's
-        self.returns = self.backed if forgot else 0
-        self.told: dict[int, int] = {}  # tick: when it was published
+        self.holder_length = int(length * (1 - drift))  # how long the holder relies on its lease
+        self.own_ack, self.no_promise_until = HeartbeatAck(), started_at + length if started_at else 0  # for ballots of other members
+        self.rejoin_at = self.no_promise_until if lost_memory else 0
+        self.published_at: dict[int, int] = {}  # tick: when it was published
         self.tick, self.ballot = 0, NO_BALLOT
 
-    def remembers(self) -> None:
-        """It has not forgotten its register: it was only late to read it."""
-        self.returns = 0
+    def memory_restored(self) -> None:
+        """The member did not lose its register: it could only read it late."""
+        self.rejoin_at = 0
 
-    def publish(self, ballot: Ballot, now: int) -> int:
-        """The tick that goes into this member's register now, under its own ballot; it backs itself like the others."""
+    def publish_tick(self, ballot: Ballot, now: int) -> int:
+        """The next tick for this member's line, under its own ballot. The member acknowledges its own tick like the others do."""
         if ballot != self.ballot:
-            self.ballot, self.told = ballot, {}
+            self.ballot, self.published_at = ballot, {}
         self.tick += 1
-        self.told[self.tick] = now
-        while len(self.told) > MAX_PENDING_TICKS:
-            del self.told[min(self.told)]
-        self.read(ballot, self.tick, now)
+        self.published_at[self.tick] = now
+        while len(self.published_at) > MAX_PENDING_TICKS:
+            del self.published_at[min(self.published_at)]
+        self.acknowledge(ballot, self.tick, now)
         return self.tick
 
-    def read(self, ballot: Ballot, tick: int, now: int) -> Backs:
-        """It read another's tick, under a ballot that it promised; what it is to say back."""
-        if (ballot, tick) > self.backs:
-            self.backs, self.backed = Backs(ballot, tick), max(self.backed, now + self.length)
-        return self.backs
+    def acknowledge(self, ballot: Ballot, tick: int, now: int) -> HeartbeatAck:
+        """Records a tick that was read under a ballot that this member has promised. Returns what to acknowledge."""
+        if (ballot, tick) > self.own_ack:
+            self.own_ack, self.no_promise_until = HeartbeatAck(ballot, tick), max(self.no_promise_until, now + self.length)
+        return self.own_ack
 
     def may_promise(self, ballot: Ballot, now: int) -> bool:
-        """No lease that it backs, or may have backed before it forgot, forbids it this ballot."""
-        return now >= self.backed or ballot[1] == self.backs.ballot[1] != -1
+        """Whether no lease that this member supports, or may have supported before it lost its memory, forbids this promise."""
+        return now >= self.no_promise_until or ballot[1] == self.own_ack.ballot[1] != -1
 
-    def may_return(self, now: int) -> bool:
-        """It remembers, or what it may have backed before it forgot has ended."""
-        return now >= self.returns
+    def may_rejoin(self, now: int) -> bool:
+        """Whether the member has its memory, or any lease that it may have supported before it lost it has ended."""
+        return now >= self.rejoin_at
 
-    def until(self, said: Sequence[Backs | None]) -> int:
-        """Until when this member holds the lease, 0 where it does not; `said` by member, its own place is passed over."""
+    def held_until(self, acks: Sequence[HeartbeatAck | None]) -> int:
+        """The time until which this member holds the lease, 0 if it does not. `acks` is by member; the member's own entry is ignored."""
         ticks = sorted(
-            (one.tick for n, one in enumerate(said) if n != self.member and one is not None and one.ballot == self.ballot), reverse=True
+            (ack.tick for n, ack in enumerate(acks) if n != self.member and ack is not None and ack.ballot == self.ballot), reverse=True
         )
-        needed = majority(len(said)) - 1  # with itself
+        needed = majority(len(acks)) - 1  # the member itself is one of the majority
         if self.ballot == NO_BALLOT or len(ticks) < needed:
             return 0
         tick = ticks[needed - 1] if needed else self.tick
-        at = self.told.get(tick)
-        return at + self.held if at is not None else 0
+        published = self.published_at.get(tick)
+        return published + self.holder_length if published is not None else 0
 
-    def holds(self, said: Sequence[Backs | None], now: int) -> bool:
-        """To be asked just before each act: a process that stood still has lost it meanwhile, whatever it believes."""
-        return now < self.until(said)
+    def is_held(self, acks: Sequence[HeartbeatAck | None], now: int) -> bool:
+        """Whether this member holds the lease at `now`. To be checked just before each act of the coordinator: while a process is
+        stopped its lease can end without its notice."""
+        return now < self.held_until(acks)
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -1,5 +1,6 @@
-"""One member, put together: agreement, lease, who asks to act. Free of I/O: lines of others and the passing of time go in, the
-line to publish comes out. Times are whole ns of this process' monotonic clock."""
+"""One voting member of a fleet: consensus, lease and the decision to ask for the role of coordinator. This module does no I/O:
+lines of the others and the passing of time go in, the line to publish comes out. Times are whole ns of this process' monotonic
+clock."""
 
 from __future__ import annotations
 
@@ -9,19 +10,19 @@
 from fieldspur.fleet import consensus, register_codec
 from fieldspur.fleet.consensus import NO_BALLOT, Register, StampedValue
 from fieldspur.fleet.failure_detector import FailureDetector
-from fieldspur.fleet.lease import Backs, Lease
+from fieldspur.fleet.lease import HeartbeatAck, Lease
 
-BEATS_PER_LEASE = 6  # ticks of its holder within a lease
+BEATS_PER_LEASE = 6  # how many ticks the holder publishes within the length of a lease
 
 
 def check_fleet(fleet: str, value: dict) -> None:
-    """Raises BadLine where a line is of another."""
+    """Raises BadLine if a line belongs to another fleet."""
     if value.get("fleet") != fleet:
         raise register_codec.BadLine(f"fleet: {str(value.get('fleet'))[:40]}")
 
 
-def follower_line(fleet: str, name: str, value: dict, coordinator, own_nonce: int) -> None:
-    """Takes a follower's line, or raises BadLine."""
+def handle_follower_line(fleet: str, name: str, value: dict, coordinator, own_nonce: int) -> None:
+    """Passes a follower's line to the coordinator. Raises BadLine if the line is not valid."""
     check_fleet(fleet, value)
     if value.get("follower") != name:
         raise register_codec.BadLine(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
@@ -29,69 +30,71 @@
 
 
 def has_majority_view(views: list, me: int = -1) -> bool:
-    """A majority of those that settle was heard, or all there are: what one of them has taken over is as late as any document that was
-    decided. Guards against a process without memory that hears one that lags, while its life before had said that it goes by a
-    later document: who acts may count on that word, and a machine go that this process would use."""
-    alive = [one for one in views if one is not None and one.life]
-    return len(alive) >= consensus.majority(len(views)) or bool(alive) and all(one is not None for n, one in enumerate(views) if n != me)
+    """Whether registers of a majority of the voting members were read, or of all other members. What this process knows is then as
+    recent as any document that was decided. Otherwise a process without memory could read a member that lags behind, although its
+    previous incarnation had reported a later document: the coordinator relies on that report, and could withdraw a machine that
+    this process would still use."""
+    alive = [view for view in views if view is not None and view.life]
+    return len(alive) >= consensus.majority(len(views)) or bool(alive) and all(view is not None for n, view in enumerate(views) if n != me)
 
 
 def possibly_decided(views: list) -> list:
-    """Values that are decided, or that may be, as far as is known here."""
-    return [said.value for one in views if one is not None and one.life for said in (one.accepted, one.decided)]
+    """Values that are decided, or that may be, as far as these registers show."""
+    return [stamped.value for view in views if view is not None and view.life for stamped in (view.accepted, view.decided)]
 
 
 class Member:
-    """`register` is what was kept, or blank. `length` ns is a lease's; all members have the same, and the same `fleet`."""
+    """`register` is the stored one, or a blank one. `length` ns is the length of a lease; it is the same at all members of `fleet`."""
 
-    def __init__(self, fleet: str, register: Register, members: int, now: int, length: int, seed: int, forgot: bool, coordinator=None):
-        """`coordinator` says what this member tells the others and what follows on an agreed value; without one nothing does."""
+    def __init__(self, fleet: str, register: Register, members: int, now: int, length: int, seed: int, lost_memory: bool, coordinator=None):
+        """`coordinator` provides what this member reports to the others, and the value that follows an agreed value. Without a
+        coordinator this member reports nothing and proposes no value."""
         self.fleet, self.register, self.me, self.coordinator = fleet, register, register.member, coordinator
-        self.beat, self.random = length // BEATS_PER_LEASE, random.Random(seed)
-        self.views: list = [None] * members
-        self.decoded: list = [(None, None)] * members  # the register each said last, as it came and as it was read
-        self.said: list = [None] * members
-        self.ticks: list = [(NO_BALLOT, 0)] * members
+        self.beat, self.random = length // BEATS_PER_LEASE, random.Random(seed)  # beat: ns between two ticks
+        self.views: list = [None] * members  # by member: its last register
+        self.decoded: list = [(None, None)] * members  # by member: its last register as JSON value and decoded
+        self.acks: list = [None] * members  # by member: the tick that it acknowledged
+        self.ticks: list = [(NO_BALLOT, 0)] * members  # by member: the ballot and tick that it published as holder
         self.now = now
-        self.lease = Lease(self.me, length, began=now, forgot=forgot)
+        self.lease = Lease(self.me, length, started_at=now, lost_memory=lost_memory)
         self.failure_detector = FailureDetector(self.me, members, now, self.beat, self.beat // 4)
-        self.ticked = 0
-        self.ask_at = now + length
+        self.last_tick_at = 0
+        self.request_ballot_at = now + length  # not earlier
         self.fenced = False
 
-    def restore(self, kept: Register, now: int) -> None:
-        """What this member had kept could be read only now. It has said nothing yet, nor come back without it."""
-        self.register = consensus.resume(kept, self.register.nonce)
-        self.lease.remembers()
-        self.ask_at = now + self.lease.length
+    def restore(self, stored: Register, now: int) -> None:
+        """The stored register could be read only now. Until now this member has published nothing and has not rejoined without it."""
+        self.register = consensus.resume(stored, self.register.nonce)
+        self.lease.memory_restored()
+        self.request_ballot_at = now + self.lease.length
         if self.coordinator is not None:
             self.coordinator.update_document(self.register.decided.value)
 
-    # What comes in.
+    # Input: lines of other members and of followers.
 
     def receive_line(self, member: int, value: dict, now: int) -> None:
-        """A line of that member; raises BadLine where it is none, or of another fleet."""
+        """Handles a line of another member. Raises BadLine if the line is not valid or belongs to another fleet."""
         check_fleet(self.fleet, value)
         register = self.decode_cached(member, value.get("register"))
-        backs, tick = (register_codec.ticked(value.get(name), name) for name in ("backs", "tick"))
+        ack, tick = (register_codec.ballot_and_tick(value.get(name), name) for name in ("backs", "tick"))
         if self.coordinator is not None:
             self.coordinator.receive_line(
                 value,
                 self.coordinator.names[member],
                 register.nonce,
                 self.register.nonce,
-                (said.value for said in (register.accepted, register.said, register.decided)),
+                (stamped.value for stamped in (register.accepted, register.said, register.decided)),
             )
-        self.said[member], self.ticks[member] = Backs(*backs), tick
+        self.acks[member], self.ticks[member] = HeartbeatAck(*ack), tick
         self.views[member] = register
         self.failure_detector.record_line(member, register.nonce, now)
-        self.follow(now)
+        self.advance(now)
 
     def decode_cached(self, member: int, raw: Any) -> Register:
-        """What was read last stands for the same again: most lines bring a tick only."""
-        before, read = self.decoded[member]
-        if raw == before and read is not None:
-            return read
+        """Decodes a register, unless it equals the last one of that member: most lines differ in the tick only."""
+        last_raw, last_register = self.decoded[member]
+        if raw == last_raw and last_register is not None:
+            return last_register
         register = register_codec.decode_register(raw, len(self.views))
         if register.member != member:
             raise register_codec.BadLine(f"member: {register.member} at {member}'s address")
@@ -99,13 +102,13 @@
         return register
 
     def receive_follower_line(self, name: str, value: dict, now: int) -> None:
-        """A line of a router that follows; raises BadLine where it is none, or of another fleet."""
-        follower_line(self.fleet, name, value, self.coordinator, self.register.nonce)
+        """Handles a line of a follower. Raises BadLine if the line is not valid or belongs to another fleet."""
+        handle_follower_line(self.fleet, name, value, self.coordinator, self.register.nonce)
         self.failure_detector.record_line(name, value["nonce"], now)
 
     def receive_heartbeat(self, member, now: int) -> None:
-        """A line of it that tells nothing new. Guards against intervals learned while nothing happened: found with
-        processes, where a killed member was followed after 5.4 s of a lease of 1 s."""
+        """Handles a line of a member or follower without new content. Without it the failure detector would learn long intervals while
+        nothing changes: in tests with processes a killed coordinator was replaced only after 5.4 s of a lease of 1 s."""
         if type(member) is not int:
             self.failure_detector.record_line(
                 member, self.coordinator.reports[member].nonce if member in self.coordinator.reports else 0, now
@@ -114,120 +117,124 @@
             self.failure_detector.record_line(member, self.views[member].nonce, now)
 
     def found_fleet(self) -> None:
-        self.register = consensus.found(self.register, self.seen())
+        self.register = consensus.found_fleet(self.register, self.all_views())
 
-    # What follows.
+    # What follows from the input.
 
-    def seen(self) -> list:
+    def all_views(self) -> list:
+        """The last register of each member, with this member's own."""
         views = list(self.views)
         views[self.me] = self.register
         return views
 
     def step(self, now: int) -> None:
         self.register = consensus.step(
-            self.register, self.seen(), lambda ballot: self.lease.may_promise(ballot, now), self.lease.may_return(now)
+            self.register, self.all_views(), lambda ballot: self.lease.may_promise(ballot, now), self.lease.may_rejoin(now)
         )
 
-    def follow(self, now: int) -> None:
+    def advance(self, now: int) -> None:
+        """Updates the register, the lease and the known document from what was read."""
         before, self.now = self.register, now
-        if consensus.fenced(self.register, self.seen()):
+        if consensus.is_fenced(self.register, self.all_views()):
             self.fenced = True
             return
         self.step(now)
         for ballot, tick in self.ticks:
             if ballot == self.register.promised != NO_BALLOT and self.register.life and ballot[1] != self.me:
-                self.lease.read(ballot, tick, now)
+                self.lease.acknowledge(ballot, tick, now)
         for _ in range(2):
-            said = consensus.propose(self.register, self.seen(), self.successor)
-            if said is self.register:  # it has no word of its own, as all but the holder, and no step follows
+            proposed = consensus.propose(self.register, self.all_views(), self.successor)
+            if proposed is self.register:  # no proposal of its own, so no step is needed; so it is at all members but the holder
                 break
-            self.register = said
+            self.register = proposed
             self.step(now)
-        if self.coordinator is not None:  # of what is kept, where this member remembers: it may be asked later what it went by
+        if self.coordinator is not None:  # with memory only what is stored counts: others may rely on what this member reported
             self.coordinator.update_document((self.register.decided if self.register.life else self.latest_decided()).value)
         if before.promised != self.register.promised:
-            self.ask_at = now + self.pause()
+            self.request_ballot_at = now + self.random_delay()
 
     def successor(self, value: Any) -> Any:
-        """What follows on the agreed value; None where nothing does, or this member does not hold the lease at this moment."""
+        """The value that follows the agreed value; None if there is none, or if this member does not hold the lease at this moment."""
         return self.coordinator.next_value(value, self.now) if self.coordinator is not None and self.is_coordinator(self.now) else None
 
     def latest_decided(self) -> StampedValue:
-        """The latest that is decided, as far as is known here. What a member learned before it forgot stays decided."""
-        return max((one.decided for one in self.seen() if one is not None), key=lambda said: said.stamp)
+        """The latest decided value that is known here. What a member read before it lost its memory is still decided."""
+        return max((view.decided for view in self.all_views() if view is not None), key=lambda stamped: stamped.stamp)
 
     def may_be_founded(self) -> bool:
-        """There is a fleet, or there may be one: not all others were heard."""
-        return any(one is None or one.life or one.back for one in self.seen())
+        """Whether the fleet is founded, or may be because not all other members were heard from."""
+        return any(view is None or view.life or view.back for view in self.all_views())
 
     def is_up_to_date(self) -> bool:
-        """This process knows as much of what is out as any before it may have said that it goes by."""
+        """Whether this process knows at least the document that any earlier process of this member may have reported."""
         return self.register.life > 0 or not self.may_be_founded() or has_majority_view(self.views, self.me)
 
-    def pause(self) -> int:
-        """So long a member waits with a ballot of its own: by chance, over more beats the more members there are."""
+    def random_delay(self) -> int:
+        """ns to wait before a ballot of its own: random, and over more beats the more members there are, so that few compete."""
         return int(self.beat * (1 + self.random.random() * len(self.views)))
 
     def tick(self, now: int) -> None:
-        """Time has passed: to be called about four times a beat."""
+        """Handles the passing of time. To be called about four times a beat."""
         self.failure_detector.check_standstill(now)
-        self.follow(now)
+        self.advance(now)
         if self.coordinator is not None:
-            said = (self.latest_decided(), self.register.accepted, self.register.said)
+            stamped_values = (self.latest_decided(), self.register.accepted, self.register.said)
             self.coordinator.tick(
                 now,
                 self.is_coordinator(now),
-                [one.value for one in said],
+                [stamped.value for stamped in stamped_values],
                 self.failure_detector.suspected(now),
                 self.may_be_founded(),
-                possibly_decided(self.seen()),
+                possibly_decided(self.all_views()),
             )
         if self.fenced or not self.register.life:
             return
         if self.leads():
-            above = max((one.promised for one in self.views if one is not None and one.life), default=NO_BALLOT)
-            if above > self.register.promised:  # one that asked in vain while it heard nobody would follow no more
-                self.register = consensus.ask(self.register, above)
-            elif now - self.ticked >= self.beat:
-                self.ticked = now
-                self.lease.publish(self.register.asked, now)
+            above = max((view.promised for view in self.views if view is not None and view.life), default=NO_BALLOT)
+            if above > self.register.promised:  # a member that requested ballots while it read nobody would not follow this one
+                self.register = consensus.request_ballot(self.register, above)
+            elif now - self.last_tick_at >= self.beat:
+                self.last_tick_at = now
+                self.lease.publish_tick(self.register.asked, now)
             return
-        if self.followed(now):
-            self.ask_at = now + self.pause()
-        elif now >= self.ask_at and self.lease.may_promise((self.register.promised[0] + 1, self.me), now):
-            self.ask_at = now + 2 * self.beat + self.pause()
-            self.register = consensus.ask(self.register)
-
-    def followed(self, now: int) -> bool:
-        """Another acts, as far as is known here: this member follows it, or a majority does, and it was heard."""
-        kept = [one.promised for one in self.views if one is not None and one.life]
-        for ballot in {self.register.promised, *kept}:
+        if self.follows_coordinator(now):
+            self.request_ballot_at = now + self.random_delay()
+        elif now >= self.request_ballot_at and self.lease.may_promise((self.register.promised[0] + 1, self.me), now):
+            self.request_ballot_at = now + 2 * self.beat + self.random_delay()
+            self.register = consensus.request_ballot(self.register)
+
+    def follows_coordinator(self, now: int) -> bool:
+        """Whether another member is the coordinator, as far as is known here: it is not suspected, and this member or a majority has
+        promised its ballot."""
+        promised_ballots = [view.promised for view in self.views if view is not None and view.life]
+        for ballot in {self.register.promised, *promised_ballots}:
             if (
                 0 <= ballot[1] != self.me
                 and not self.failure_detector.is_suspected(ballot[1], now)
-                and (ballot == self.register.promised or kept.count(ballot) >= consensus.majority(len(self.views)))
+                and (ballot == self.register.promised or promised_ballots.count(ballot) >= consensus.majority(len(self.views)))
             ):
                 return True
         return False
 
     def leads(self) -> bool:
-        return consensus.leads(self.register, self.seen())
+        """Whether a majority has promised this member's ballot."""
+        return consensus.leads(self.register, self.all_views())
 
     def is_coordinator(self, now: int) -> bool:
-        """It holds the lease at this moment; to be asked just before each act."""
-        return not self.fenced and self.leads() and self.lease.holds(self.said, now)
+        """Whether this member holds the lease at `now`. To be checked just before each act of the coordinator."""
+        return not self.fenced and self.leads() and self.lease.is_held(self.acks, now)
 
     def agreed_value(self) -> Any:
-        """The value in force as this member knows it, None before the first."""
+        """The latest agreed value that this member knows, None before the first."""
         return self.register.decided.value
 
     def line(self) -> dict:
-        """What is to be published, as soon as `register` is kept."""
-        own = self.lease.ballot == self.register.asked == self.register.promised
+        """The line to publish as soon as `register` is stored."""
+        is_own_ballot = self.lease.ballot == self.register.asked == self.register.promised
         return {
             "fleet": self.fleet,
             "register": register_codec.encode_register(self.register),
-            "tick": [list(self.lease.ballot), self.lease.tick] if own else [list(NO_BALLOT), 0],
-            "backs": [list(self.lease.backs.ballot), self.lease.backs.tick],
+            "tick": [list(self.lease.ballot), self.lease.tick] if is_own_ballot else [list(NO_BALLOT), 0],
+            "backs": [list(self.lease.own_ack.ballot), self.lease.own_ack.tick],
             **(self.coordinator.line() if self.coordinator is not None else {}),
         }
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -1,6 +1,6 @@
-"""The thin part with sockets and threads: publishes this member's line as the notice board does (`watch N`; numbered JSON events,
-a without_loads number each second) and reads the others' with the board's own reader. Each line holds all, so one that was missed is
-made good by the next."""
+"""The sockets and threads of a fleet member. It publishes this member's line with the protocol of the discovery service (`watch N`;
+numbered JSON events, a bare number each second) and reads the lines of the others with the discovery client. Each line contains the
+full state, so the next line makes up for a missed one."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.list_overlay import ServerListOverlay
 from fieldspur.fleet.member import Member
-from fieldspur.fleet.register_store import Store, StoreFailed, StoreUnreadable
+from fieldspur.fleet.register_store import RegisterStore, StoreFailed, StoreUnreadable
 from fieldspur.fleet.work_requests import parse_requests
 from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import contained_errors, keep_running
@@ -25,56 +25,59 @@
 from fieldspur.record import replace
 
 log = logging.getLogger("fieldspur.fleet")
-EVERY = 1.0  # most seconds between two lines where nothing changed: a without_loads number; a beat where that is shorter
-LAG = 0.02  # seconds for which changes gather into one line
-ASK = 64  # bytes that a reader may send: `watch N`
-SPARE = 64  # readers beyond four connections of each member: operators, and those that ended and are not seen yet
-SLOW = 2.0  # seconds that a reader may take for a line before its connection is closed
-QUIET = 5  # leases without anybody that acts, after which it is told
-LOOK, LOOK_BACK = 1.0, 0.3  # seconds between two looks at the Router's loads; while a machine warms
-
-
-def now() -> int:
-    """ns of a clock that nobody sets and that counts on while the process or the machine stands still."""
+MAX_LINE_INTERVAL_S = 1.0  # a bare number is sent if nothing changed for this long, or for a beat if that is shorter
+MIN_POLL_INTERVAL_S = 0.02  # changes within it are published as one line
+MAX_REQUEST_BYTES = 64  # of what a reader may send: `watch N`
+SPARE_READERS = 64  # beyond four connections of each member: operators, and closed connections that are not detected yet
+SEND_TIMEOUT_S = 2.0  # a reader that does not take a line within it is disconnected
+NO_COORDINATOR_LEASES = 5  # after this many lease lengths without a coordinator a warning is logged
+LOAD_POLL_S = 1.0  # between two reads of the loads that the Router sees
+LOAD_POLL_WARMING_S = 0.3  # the same while a machine warms up
+
+
+def boottime_ns() -> int:
+    """A clock that nobody sets, and that also advances while the process or the machine is stopped."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME)
 
 
 class Peer(DiscoveryClient):
-    """Another member's lines, by the board's reader. `number` among those that settle, or the name of one that follows."""
+    """Reads the lines of one other member with the discovery client. `number` is the index of a voting member or the name of a
+    follower."""
 
-    def __init__(self, talk: Transport, number: int | str, where: tuple[str, int], seed: int):
+    def __init__(self, transport: Transport, number: int | str, where: tuple[str, int], seed: int):
         super().__init__(where, self, seed)
-        self.talk, self.number, self.unusable = talk, number, 0
-        self.name = number if isinstance(number, str) else talk.names[number]
-        self.wanted = threading.Event()  # its lines are
-        self.over = False
+        self.transport, self.number, self.bad_line_count = transport, number, 0
+        self.name = number if isinstance(number, str) else transport.voter_names[number]
+        self.enabled = threading.Event()  # set while the lines of this member are to be read
+        self.removed = False
 
     def gather(self) -> None:
-        """Each line is handled as it comes."""
+        """Does nothing: each line is handled as soon as it arrives."""
 
     def handle(self) -> None:
         pass
 
-    def lost(self, why: str) -> None:
-        log.warning("lost", extra={"kv": {"member": self.name, "why": why}})
+    def lost(self, reason: str) -> None:
+        log.warning("lost", extra={"kv": {"member": self.name, "why": reason}})
 
-    def want(self, yes: bool) -> None:
-        """Only who acts reads those that follow."""
-        if yes and not self.wanted.is_set():
-            self.wanted.set()
-        elif not yes and self.wanted.is_set():
-            self.wanted.clear()
+    def set_enabled(self, enabled: bool) -> None:
+        """Starts or stops reading. Followers are read only by the coordinator."""
+        if enabled and not self.enabled.is_set():
+            self.enabled.set()
+        elif not enabled and self.enabled.is_set():
+            self.enabled.clear()
             self.move(self.where, [])  # ends the connection
 
     def watch(self) -> None:
-        self.wanted.wait()
-        if self.over:
-            raise SystemExit  # of this thread
+        self.enabled.wait()
+        if self.removed:
+            raise SystemExit  # ends this thread only
         super().watch()
 
-    def end(self) -> None:
-        self.over = True
-        self.wanted.set()
+    def remove(self) -> None:
+        """Ends the connection and the thread of this reader."""
+        self.removed = True
+        self.enabled.set()
         self.move(self.where, [])
 
     def line(self, data: bytes) -> None:
@@ -82,378 +85,411 @@
         if isinstance(value, dict) and ("register" in value or "follower" in value):
             self.last = value.get("rev") if type(value.get("rev")) is int else self.last
             try:
-                self.talk.heard(self.number, value)
-            except register_codec.BadLine as bad:  # a member of another version or fleet does not end the reading
-                self.unusable += 1
-                if self.unusable in (1, 10, 100, 1000):
-                    log.error("unusable", extra={"kv": {"member": self.name, "why": str(bad), "times": self.unusable}})
+                self.transport.receive_line(self.number, value)
+            except register_codec.BadLine as error:  # reading goes on: the member may be of another version or fleet
+                self.bad_line_count += 1
+                if self.bad_line_count in (1, 10, 100, 1000):
+                    log.error("unusable", extra={"kv": {"member": self.name, "why": str(error), "times": self.bad_line_count}})
         elif type(value) is int:
-            self.talk.alive(self.number)
+            self.transport.receive_heartbeat(self.number)
 
 
 class Transport:
-    """A member with its threads. `overlay` shows the router what is out. Raises StoreFailed where its folder can't be used, OSError
-    where it can't listen."""
+    """A member or follower with its threads. `overlay` hides machines that are withdrawn from routing from the router. Raises
+    StoreFailed if the folder can't be used, OSError if the address can't be listened on."""
 
-    def __init__(self, wishes: Fleet, own: str, seed: int, overlay: ServerListOverlay):
-        self.names = sorted(wishes.votes or wishes.members)
-        self.wishes, self.own, self.seed, self.overlay = wishes, own, seed, overlay
-        many, length = len(self.names), int(wishes.lease_s * 1e9)
+    def __init__(self, settings: Fleet, own_name: str, seed: int, overlay: ServerListOverlay):
+        self.voter_names = sorted(settings.votes or settings.members)
+        self.settings, self.own_name, self.seed, self.overlay = settings, own_name, seed, overlay
+        voters, lease_length = len(self.voter_names), int(settings.lease_s * 1e9)
         nonce = int.from_bytes(os.urandom(6), "big") + 1
-        votes = own in self.names
-        me = self.names.index(own) if votes else 0
-        self.store = Store(wishes.folder, wishes.name if votes else f"{wishes.name}, followed", me, many) if wishes.folder else None
-        self.unread = ""  # why what was kept can't be read yet: until then this member does not know what it may have promised
-        kept = self.kept_at_start()
-        site, bounds = overlay.site, wishes.bounds
+        is_voter = own_name in self.voter_names
+        own_number = self.voter_names.index(own_name) if is_voter else 0
+        self.store = (
+            RegisterStore(settings.folder, settings.name if is_voter else f"{settings.name}, followed", own_number, voters)
+            if settings.folder
+            else None
+        )
+        self.unreadable_reason = ""  # why the store can't be read yet: until it can, this member does not know what it has promised
+        stored = self.load_at_start()
+        site, bounds = overlay.site, settings.bounds
         longest = max((rule.limit for rule in site.rules), default=0)
         self.coordinator = Coordinator(
-            self.names,
-            own,
+            self.voter_names,
+            own_name,
             site.zones[site.fleet["zone"]],
-            length,
+            lease_length,
             planner.Bounds(bounds.zone, bounds.all, bounds.both, bounds.headroom, bounds.fills_s, bounds.parents, bounds.at_once),
-            wishes.unsure == "turn_away",
+            settings.unsure == "turn_away",
             longest,
             max(site.fleet["cache_cold"][1], site.fleet["parent_cold"][1]),
         )
-        self.coordinator.requests, self.coordinator.left_members = parse_requests(wishes.work, "fleet.work"), list(wishes.left)
-        if votes:
-            register = consensus.resume(kept, nonce) if kept is not None else consensus.blank_register(me, many, nonce)
-            self.node = Member(wishes.name, register, many, now(), length, seed, kept is None, self.coordinator)
+        self.coordinator.requests, self.coordinator.left_members = parse_requests(settings.work, "fleet.work"), list(settings.left)
+        if is_voter:
+            register = consensus.resume(stored, nonce) if stored is not None else consensus.blank_register(own_number, voters, nonce)
+            self.member = Member(settings.name, register, voters, boottime_ns(), lease_length, seed, stored is None, self.coordinator)
             self.coordinator.update_document(register.decided.value)
-            kept = register if kept is not None else None  # as this process takes it up: what fails to be kept falls back to it
+            stored = register if stored is not None else None  # as this process resumed it: a failed write falls back to this register
         else:
-            self.node = Follower(wishes.name, own, nonce, many, now(), length, self.coordinator, kept.decided if kept else None)
-        self.votes = votes
-        self.every = min(EVERY, self.node.beat / 1e9)
-        self.kept, self.failed, self.acting, self.life = kept, bool(self.unread), False, kept.life if votes and kept else 0
-        self.rev, self.data, self.last = 0, b"", {}
-        self.state_known = threading.Event()  # set once this member knows what is out, or that nobody does
-        self.unsure, self.shown = frozenset(), work_orders.EMPTY_DOCUMENT  # what may only be used by lease; the document last logged
-        self.quiet_since, self.quiet_told = 0, False  # since when nobody is known to act
-        self.applying = threading.Lock()
-        self.lock = threading.Lock()  # of the node
-        self.told = threading.Condition()  # of the line
-        self.watchers = 0
-        self.listener = socket.create_server(member(wishes.members[own])[0], backlog=min(512, len(wishes.members)))
-        self.peers = [Peer(self, n, member(wishes.members[name])[0], seed + n) for n, name in enumerate(self.names) if name != own]
+            self.member = Follower(
+                settings.name, own_name, nonce, voters, boottime_ns(), lease_length, self.coordinator, stored.decided if stored else None
+            )
+        self.is_voter = is_voter
+        self.line_interval = min(MAX_LINE_INTERVAL_S, self.member.beat / 1e9)
+        self.stored, self.store_failed, self.was_coordinator, self.logged_life = (
+            stored,
+            bool(self.unreadable_reason),
+            False,
+            stored.life if is_voter and stored else 0,
+        )
+        self.rev, self.data, self.last_line = 0, b"", {}  # number, bytes and content of the line that was published last
+        self.state_known = threading.Event()  # set once this member knows which machines are withdrawn, or that there is no fleet yet
+        self.lease_only, self.logged_document = frozenset(), work_orders.EMPTY_DOCUMENT  # machines that need the list lease; the document
+        self.no_coordinator_since, self.no_coordinator_logged = 0, False
+        self.apply_lock = threading.Lock()
+        self.member_lock = threading.Lock()
+        self.line_changed = threading.Condition()
+        self.readers = 0
+        self.listener = socket.create_server(member(settings.members[own_name])[0], backlog=min(512, len(settings.members)))
+        self.peers = [
+            Peer(self, n, member(settings.members[name])[0], seed + n) for n, name in enumerate(self.voter_names) if name != own_name
+        ]
         for peer in self.peers:
-            peer.want(True)
-        self.followers: dict[str, Peer] = {}  # read while this member acts
-        overlay.set_usage_check(self.doubted)
-        self.apply()
+            peer.set_enabled(True)
+        self.followers: dict[str, Peer] = {}  # read while this member is the coordinator
+        overlay.set_usage_check(self.may_be_out)
+        self.apply_document()
         log.info(
             "member",
-            extra={"kv": {"fleet": wishes.name, "member": own, "of": len(wishes.members), "votes": votes, "memory": kept is not None}},
+            extra={
+                "kv": {
+                    "fleet": settings.name,
+                    "member": own_name,
+                    "of": len(settings.members),
+                    "votes": is_voter,
+                    "memory": stored is not None,
+                }
+            },
         )
 
     def start(self) -> None:
         self.publish()
-        threads = [("fleet", self.run), ("fleet-listen", self.accept)]
+        threads = [("fleet", self.run), ("fleet-listen", self.accept_readers)]
         threads += [(f"fleet-{peer.name}", peer.run) for peer in self.peers]
         for name, run in threads:
             threading.Thread(target=keep_running, args=(name, run), name=name, daemon=True).start()
 
-    # What was kept.
+    # The store.
 
     def load(self) -> consensus.Register | None:
-        """What the store holds. Raises StoreUnreadable where that can't be told now, StoreFailed where it is of another version."""
-        kept = self.store.load()
+        """The stored register. Raises StoreUnreadable if it can't be read now, StoreFailed if another version wrote it."""
+        stored = self.store.load()
         try:
-            for said in (kept.accepted, kept.said, kept.decided) if kept is not None else ():
-                work_orders.read_document(said.value)
-        except work_orders.BadOrder as wrong:
-            raise StoreFailed(f"what was kept is of another version: {wrong}") from None
-        return kept
-
-    def kept_at_start(self) -> consensus.Register | None:
-        """Guards against a disk that fails at a start, which is no reason not to serve: what was kept is asked for again."""
+            for stamped in (stored.accepted, stored.said, stored.decided) if stored is not None else ():
+                work_orders.read_document(stamped.value)
+        except work_orders.BadOrder as error:
+            raise StoreFailed(f"what was kept is of another version: {error}") from None
+        return stored
+
+    def load_at_start(self) -> consensus.Register | None:
+        """A disk that fails at the start does not keep the router from serving: the load is retried later."""
         if self.store is None:
             return None
         try:
             return self.load()
-        except StoreUnreadable as wrong:
-            self.not_read(wrong)
+        except StoreUnreadable as error:
+            self.log_unreadable(error)
             return None
 
-    def not_read(self, wrong: StoreFailed) -> None:
-        if str(wrong) != self.unread:
-            self.unread = str(wrong)
-            log.error("not_read", extra={"kv": {"why": self.unread}})
+    def log_unreadable(self, error: StoreFailed) -> None:
+        if str(error) != self.unreadable_reason:
+            self.unreadable_reason = str(error)
+            log.error("not_read", extra={"kv": {"why": self.unreadable_reason}})
 
-    def read_again(self) -> None:
-        """Until what was kept can be read, a member that votes says nothing, and so counts as one that is not there; what others settle it
-        hears and goes by. Nothing is written meanwhile."""
+    def retry_load(self) -> None:
+        """Until the stored register can be read, a voting member publishes nothing, and so counts as absent. It still reads what the
+        others decide and applies it. Nothing is written meanwhile."""
         try:
-            kept = self.load()
-        except StoreFailed as wrong:
-            return self.not_read(wrong)
-        with self.lock:
-            if kept is not None:
-                self.node.restore(kept, now())
-                if self.votes:
-                    kept, self.life = self.node.register, kept.life
-            self.kept, self.unread, self.failed = kept, "", False
-        log.info("read", extra={"kv": {"memory": kept is not None}})
-
-    # Of the node, one at a time.
-
-    def heard(self, number: int | str, value: dict) -> None:
-        with self.lock:
-            before = self.coordinator.document.number
+            stored = self.load()
+        except StoreFailed as error:
+            return self.log_unreadable(error)
+        with self.member_lock:
+            if stored is not None:
+                self.member.restore(stored, boottime_ns())
+                if self.is_voter:
+                    stored, self.logged_life = self.member.register, stored.life
+            self.stored, self.unreadable_reason, self.store_failed = stored, "", False
+        log.info("read", extra={"kv": {"memory": stored is not None}})
+
+    # Calls of the member, one at a time.
+
+    def receive_line(self, number: int | str, value: dict) -> None:
+        with self.member_lock:
+            number_before = self.coordinator.document.number
             if isinstance(number, str):
-                self.node.receive_follower_line(number, value, now())
+                self.member.receive_follower_line(number, value, boottime_ns())
             else:
-                self.node.receive_line(number, value, now())
-            self.keep()
-            fresh = self.coordinator.document.number != before
-        if fresh:
-            self.apply()
+                self.member.receive_line(number, value, boottime_ns())
+            self.save()
+            is_new_document = self.coordinator.document.number != number_before
+        if is_new_document:
+            self.apply_document()
             self.publish()
 
-    def alive(self, number: int | str) -> None:
-        """Nothing new there, but it is."""
-        with self.lock:
-            self.node.receive_heartbeat(number, now())
+    def receive_heartbeat(self, number: int | str) -> None:
+        """A bare number arrived: the member is alive and has nothing new."""
+        with self.member_lock:
+            self.member.receive_heartbeat(number, boottime_ns())
 
     def run(self) -> None:
-        looked, fenced = 0.0, False
+        loads_polled_at, fenced = 0.0, False
         while True:
-            time.sleep(max(LAG, self.node.beat / 4e9))
-            if self.node.fenced != fenced:  # it says no more, and goes by what it knew until its lease on that has ended
+            time.sleep(max(MIN_POLL_INTERVAL_S, self.member.beat / 4e9))
+            if self.member.fenced != fenced:  # it publishes nothing more, and uses the list it knew until its list lease has ended
                 fenced = True
                 log.error("fenced", extra={"kv": {"why": "a later process of this name is a member; this one takes part no more"}})
-            if self.unread:
-                self.read_again()
-            if time.monotonic() - looked >= (LOOK_BACK if self.coordinator.returning() else LOOK):
-                looked = time.monotonic()
-                self.overlay.request_loads(self.looked)
-            with self.lock:
+            if self.unreadable_reason:
+                self.retry_load()
+            if time.monotonic() - loads_polled_at >= (LOAD_POLL_WARMING_S if self.coordinator.returning() else LOAD_POLL_S):
+                loads_polled_at = time.monotonic()
+                self.overlay.request_loads(self.update_loads)
+            with self.member_lock:
                 self.coordinator.unix_ms, self.coordinator.listings = time.time_ns() // 1_000_000, self.overlay.listings
-                self.node.tick(now())
-                self.keep()
-                acts = self.node.is_coordinator(now())
-            self.apply()
+                self.member.tick(boottime_ns())
+                self.save()
+                is_coordinator = self.member.is_coordinator(boottime_ns())
+            self.apply_document()
             self.publish()
-            if self.votes:
-                self.speak(acts)
-
-    def speak(self, acts: bool) -> None:
-        """What has changed of this member's part, for the log; and whom it reads."""
-        with self.lock:
-            life, promised = self.node.register.life, self.node.register.promised
-            followed = acts or self.node.followed(now())
-        if life != self.life:
-            self.life = life
+            if self.is_voter:
+                self.update_role(is_coordinator)
+
+    def update_role(self, is_coordinator: bool) -> None:
+        """Logs changes of this member's role, and reads the followers while it is the coordinator."""
+        with self.member_lock:
+            life, promised = self.member.register.life, self.member.register.promised
+            has_coordinator = is_coordinator or self.member.follows_coordinator(boottime_ns())
+        if life != self.logged_life:
+            self.logged_life = life
             log.info("counts_again", extra={"kv": {"life": life}})
-        if acts != self.acting:
-            self.acting = acts
-            log.info("acting" if acts else "acts_no_more", extra={"kv": {"ballot": "%d.%d" % promised}})
-        self.read_followers(acts)
-        if followed:
-            self.quiet_since, self.quiet_told = 0, False
-        elif not self.quiet_since:
-            self.quiet_since = now()
-        elif not self.quiet_told and now() - self.quiet_since > QUIET * self.node.lease.length:
-            self.quiet_told = True
+        if is_coordinator != self.was_coordinator:
+            self.was_coordinator = is_coordinator
+            log.info("acting" if is_coordinator else "acts_no_more", extra={"kv": {"ballot": "%d.%d" % promised}})
+        self.read_followers(is_coordinator)
+        if has_coordinator:
+            self.no_coordinator_since, self.no_coordinator_logged = 0, False
+        elif not self.no_coordinator_since:
+            self.no_coordinator_since = boottime_ns()
+        elif (
+            not self.no_coordinator_logged and boottime_ns() - self.no_coordinator_since > NO_COORDINATOR_LEASES * self.member.lease.length
+        ):
+            self.no_coordinator_logged = True
             log.warning(
                 "nobody_acts",
-                extra={"kv": {"counts": sum(one is not None and one.life > 0 for one in self.node.seen()), "of": len(self.names)}},
+                extra={
+                    "kv": {
+                        "counts": sum(view is not None and view.life > 0 for view in self.member.all_views()),
+                        "of": len(self.voter_names),
+                    }
+                },
             )
 
-    def read_followers(self, yes: bool) -> None:
-        members = self.wishes.members
-        wanted = {name for name in members if name not in self.names and name != self.own}
+    def read_followers(self, enabled: bool) -> None:
+        members = self.settings.members
+        wanted = {name for name in members if name not in self.voter_names and name != self.own_name}
         for name in set(self.followers) - wanted:
-            self.followers.pop(name).end()
-            with self.lock:
-                self.node.failure_detector.forget(name)
-        for n, name in enumerate(sorted(wanted - set(self.followers)) if yes else ()):
-            peer = self.followers[name] = Peer(self, name, member(members[name])[0], self.seed + len(self.names) + n)
+            self.followers.pop(name).remove()
+            with self.member_lock:
+                self.member.failure_detector.forget(name)
+        for n, name in enumerate(sorted(wanted - set(self.followers)) if enabled else ()):
+            peer = self.followers[name] = Peer(self, name, member(members[name])[0], self.seed + len(self.voter_names) + n)
             threading.Thread(target=keep_running, args=(f"fleet-{name}", peer.run), name=f"fleet-{name}", daemon=True).start()
         for peer in self.followers.values():
-            peer.want(yes)
+            peer.set_enabled(enabled)
 
-    def looked(self, loads: dict, turned: tuple) -> None:
+    def update_loads(self, loads: dict, turned: tuple) -> None:
         self.coordinator.loads, self.coordinator.rejected_rates, self.coordinator.fresh_loads = loads, turned, True
 
-    # What is out.
+    # Machines that are withdrawn from routing.
 
-    def apply(self) -> None:
-        """The router goes by the document that is known now; what it says of that is true by then."""
-        with self.applying:
-            with self.lock:
-                at = now()
-                found, off, backs = self.coordinator.document, self.coordinator.withdrawn(at), self.coordinator.returning()
-                doubt, sure = self.coordinator.list_unknown(at), self.node.is_up_to_date()
-            self.unsure = self.coordinator.announced()
+    def apply_document(self) -> None:
+        """Makes the router use the latest known document. What this member then reports about it is already true."""
+        with self.apply_lock:
+            with self.member_lock:
+                now = boottime_ns()
+                document, off, backs = self.coordinator.document, self.coordinator.withdrawn(now), self.coordinator.returning()
+                doubt, is_up_to_date = self.coordinator.list_unknown(now), self.member.is_up_to_date()
+            self.lease_only = self.coordinator.announced()
             self.overlay.withdraw(off, backs)
-            open_at = self.overlay.count_open_hops(sorted(self.unsure))
-            with self.lock:
-                if not self.failed:  # what is not on disk is not said: after a crash this member would not know it
-                    self.coordinator.mark_applied(found.number, open_at)
+            open_at = self.overlay.count_open_hops(sorted(self.lease_only))
+            with self.member_lock:
+                if not self.store_failed:  # what is not on disk must not be reported: after a crash this member would not know it
+                    self.coordinator.mark_applied(document.number, open_at)
             if self.coordinator.strict:
                 self.overlay.reject_all(doubt)
-            if sure:
+            if is_up_to_date:
                 self.state_known.set()
-            self.tell(found)
+            self.log_changes(document)
 
-    def doubted(self, server: str) -> bool:
-        """Just before a write. Guards against a process that was stopped while machines went, or whose threads had no turn."""
-        if server not in self.unsure and not self.coordinator.strict:
+    def may_be_out(self, server: str) -> bool:
+        """Whether `server` may be out for maintenance; asked just before each write to it. Guards against a process that was stopped,
+        or whose threads did not run, while machines were withdrawn."""
+        if server not in self.lease_only and not self.coordinator.strict:
             return False
         if self.coordinator.strict:
-            return self.coordinator.list_unknown(now())
-        return not self.coordinator.list_lease.is_held(now())
+            return self.coordinator.list_unknown(boottime_ns())
+        return not self.coordinator.list_lease.is_held(boottime_ns())
 
-    def tell(self, found: work_orders.WorkDocument) -> None:
-        """A line of the log for each order that went a step further."""
-        before, self.shown = self.shown, found
-        if found is before:
+    def log_changes(self, document: work_orders.WorkDocument) -> None:
+        """Logs each work order that changed its state since the document that was logged last."""
+        before, self.logged_document = self.logged_document, document
+        if document is before:
             return
-        old = {one.ident: one for one in before.orders}
-        for one in found.orders:
-            was = old.pop(one.ident, None)
-            if was is None or was.state != one.state:
+        old_orders = {order.ident: order for order in before.orders}
+        for order in document.orders:
+            old = old_orders.pop(order.ident, None)
+            if old is None or old.state != order.state:
                 log.info(
                     "work",
                     extra={
                         "kv": {
-                            "order": one.ident,
-                            "machine": one.machine,
-                            "state": one.state,
-                            "number": found.number,
-                            "note": one.note or "-",
+                            "order": order.ident,
+                            "machine": order.machine,
+                            "state": order.state,
+                            "number": document.number,
+                            "note": order.note or "-",
                         }
                     },
                 )
-            elif one.state == work_orders.FREE and one.note and one.note != was.note:
-                log.warning("work_away", extra={"kv": {"order": one.ident, "machine": one.machine, "why": one.note}})
-        for one in found.ended:
-            if one.number > before.number:
+            elif order.state == work_orders.FREE and order.note and order.note != old.note:
+                log.warning("work_away", extra={"kv": {"order": order.ident, "machine": order.machine, "why": order.note}})
+        for ended in document.ended:
+            if ended.number > before.number:
                 log.log(
-                    logging.ERROR if one.how == work_orders.REFUSED else logging.INFO,
+                    logging.ERROR if ended.how == work_orders.REFUSED else logging.INFO,
                     "work_ended",
-                    extra={"kv": {"order": one.ident, "machine": one.machine, "how": one.how, "why": one.why or "-"}},
+                    extra={"kv": {"order": ended.ident, "machine": ended.machine, "how": ended.how, "why": ended.why or "-"}},
                 )
 
-    def reload(self, fleet: Fleet) -> bool:
-        """An operators' file was read again; whether all of it is taken over. Members that vote, and what a member is, stay."""
-        same = replace(fleet, members=self.wishes.members, work=self.wishes.work, left=self.wishes.left, first=self.wishes.first)
-        mine = {name: fleet.members.get(name) for name in (*self.names, self.own)}
-        if mine != {name: self.wishes.members[name] for name in mine} or same != self.wishes:
-            fleet = replace(self.wishes, work=fleet.work, left=fleet.left)
-            same = None
-        with self.lock:
-            self.coordinator.requests, self.coordinator.left_members = parse_requests(fleet.work, "fleet.work"), list(fleet.left)
-            self.wishes = fleet
-        return same is not None
+    def reload(self, settings: Fleet) -> bool:
+        """Applies an operators' file that was read again. Returns whether all of it is applied: the voting members and the addresses of
+        running members stay as they were at the start."""
+        expected = replace(
+            settings, members=self.settings.members, work=self.settings.work, left=self.settings.left, first=self.settings.first
+        )
+        fixed_members = {name: settings.members.get(name) for name in (*self.voter_names, self.own_name)}
+        if fixed_members != {name: self.settings.members[name] for name in fixed_members} or expected != self.settings:
+            settings = replace(self.settings, work=settings.work, left=settings.left)
+            expected = None
+        with self.member_lock:
+            self.coordinator.requests, self.coordinator.left_members = parse_requests(settings.work, "fleet.work"), list(settings.left)
+            self.settings = settings
+        return expected is not None
 
     def found_fleet(self) -> None:
-        """An operator's word that there was no fleet before; refused with the reason in the log."""
-        with self.lock:
+        """An operator declares that no fleet existed before. If that is refused, the reason is logged."""
+        with self.member_lock:
             try:
-                if not self.votes:
+                if not self.is_voter:
                     raise ValueError("this member does not vote")
-                if self.unread:
+                if self.unreadable_reason:
                     raise ValueError("what this member kept can't be read yet")
-                self.node.found_fleet()
-                self.keep()
-            except ValueError as wrong:
-                return log.error("not_founded", extra={"kv": {"why": str(wrong)}})
+                self.member.found_fleet()
+                self.save()
+            except ValueError as error:
+                return log.error("not_founded", extra={"kv": {"why": str(error)}})
         log.info("founding")
 
-    def keep(self) -> None:
-        """What is not on disk is not so: this member goes on from what is, and says nothing new."""
-        if self.store is None or self.unread:
+    def save(self) -> None:
+        """Stores the register. If that fails, this member goes back to the register that is on disk, and reports nothing new."""
+        if self.store is None or self.unreadable_reason:
             return
         register = (
-            self.node.register
-            if self.votes
-            else consensus.blank_register(0, len(self.names), self.node.nonce)._replace(life=1, decided=self.node.decided)
+            self.member.register
+            if self.is_voter
+            else consensus.blank_register(0, len(self.voter_names), self.member.nonce)._replace(life=1, decided=self.member.decided)
         )
-        if register == self.kept:
+        if register == self.stored:
             return
-        if not register.life:  # knows nothing that is worth a write; and must not stand in for what is kept
+        if not register.life:  # a blank register is not worth a write, and must not replace the stored one
             return
         try:
-            self.store.keep(register)
-            self.kept, self.failed = register, False
-        except StoreFailed as wrong:
-            if self.votes:
-                self.node.register = self.kept or consensus.blank_register(register.member, len(self.names), register.nonce)
-            if not self.failed:
-                log.error("not_kept", extra={"kv": {"why": str(wrong)}})
-            self.failed = True
+            self.store.save(register)
+            self.stored, self.store_failed = register, False
+        except StoreFailed as error:
+            if self.is_voter:
+                self.member.register = self.stored or consensus.blank_register(register.member, len(self.voter_names), register.nonce)
+            if not self.store_failed:
+                log.error("not_kept", extra={"kv": {"why": str(error)}})
+            self.store_failed = True
 
-    # The line.
+    # The published line.
 
     def publish(self) -> None:
-        if self.unread and self.votes:
+        if self.unreadable_reason and self.is_voter:
             return
-        with self.lock:
-            line = self.node.line()
-            without = without_loads(line)
-            if without == self.last or self.node.fenced:
+        with self.member_lock:
+            line = self.member.line()
+            content = without_loads(line)
+            if content == self.last_line or self.member.fenced:
                 return
             self.coordinator.line_published()
-        with self.told:
-            self.last, self.rev = without, self.rev + 1
+        with self.line_changed:
+            self.last_line, self.rev = content, self.rev + 1
             self.data = json.dumps({"rev": self.rev, **line}, separators=(",", ":")).encode() + b"\n"
-            self.told.notify_all()
+            self.line_changed.notify_all()
 
-    def accept(self) -> None:
+    def accept_readers(self) -> None:
         while True:
             try:
                 conn, _ = self.listener.accept()
-            except OSError as wrong:
-                log.error("accept", extra={"kv": {"why": str(wrong)}})
-                time.sleep(EVERY)
+            except OSError as error:
+                log.error("accept", extra={"kv": {"why": str(error)}})
+                time.sleep(MAX_LINE_INTERVAL_S)
                 continue
-            if self.unread and self.votes or self.watchers >= 4 * len(self.wishes.members) + SPARE:
+            if self.unreadable_reason and self.is_voter or self.readers >= 4 * len(self.settings.members) + SPARE_READERS:
                 conn.close()
                 continue
             try:
-                threading.Thread(target=self.serve, args=(conn,), name="fleet-watcher", daemon=True).start()
+                threading.Thread(target=self.serve_reader, args=(conn,), name="fleet-watcher", daemon=True).start()
             except RuntimeError:
                 conn.close()
 
     @staticmethod
-    def ended(conn: socket.socket) -> bool:
-        """Guards against readers that went and are counted as there until two lines failed to reach them."""
+    def is_closed(conn: socket.socket) -> bool:
+        """Whether the reader closed the connection. Without this check a closed connection counts as a reader until two lines failed to
+        reach it."""
         poll = select.poll()
         poll.register(conn, select.POLLIN)
-        return bool(poll.poll(0)) and conn.recv(ASK) == b""
+        return bool(poll.poll(0)) and conn.recv(MAX_REQUEST_BYTES) == b""
 
-    def serve(self, conn: socket.socket) -> None:
-        with self.told:
-            self.watchers += 1
+    def serve_reader(self, conn: socket.socket) -> None:
+        with self.line_changed:
+            self.readers += 1
         try:
             with conn:
-                conn.settimeout(SLOW)
-                held = b""
-                while b"\n" not in held:
-                    data = conn.recv(ASK)
-                    held += data
-                    if not data or len(held) > ASK:
+                conn.settimeout(SEND_TIMEOUT_S)
+                request = b""
+                while b"\n" not in request:
+                    data = conn.recv(MAX_REQUEST_BYTES)
+                    request += data
+                    if not data or len(request) > MAX_REQUEST_BYTES:
                         return
-                if not held.startswith(b"watch "):
+                if not request.startswith(b"watch "):
                     return
-                sent = 0
-                while not self.node.fenced:
-                    if self.ended(conn):
+                sent_rev = 0
+                while not self.member.fenced:
+                    if self.is_closed(conn):
                         return
-                    with self.told:
-                        if self.rev == sent:
-                            self.told.wait(self.every)
-                        data = self.data if self.rev != sent else b"%d\n" % sent
-                        sent = self.rev
+                    with self.line_changed:
+                        if self.rev == sent_rev:
+                            self.line_changed.wait(self.line_interval)
+                        data = self.data if self.rev != sent_rev else b"%d\n" % sent_rev
+                        sent_rev = self.rev
                     conn.sendall(data)
         except OSError:
-            pass  # it comes again
+            pass  # the reader connects again
         except Exception:
             contained_errors.record("fleet-watcher")
         finally:
-            with self.told:
-                self.watchers -= 1
+            with self.line_changed:
+                self.readers -= 1
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -1,4 +1,4 @@
-"""Suspicion graded by what was heard, and members put together in simulated time."""
+"""The failure detector, and whole members in simulated time."""
 
 import random
 
@@ -6,40 +6,40 @@
 from simulated_fleet import LENGTH, MS, World
 
 from fieldspur.fleet import register_codec
-from fieldspur.fleet.failure_detector import SUSPECT, FailureDetector, Heard
+from fieldspur.fleet.failure_detector import SUSPECT_PHI, FailureDetector, IntervalHistory
 
 
-def test_phi_grows_with_silence_and_a_steady_member_is_suspected_sooner_than_a_fitful_one():
-    steady, fitful, chance = Heard(0, 250 * MS), Heard(0, 250 * MS), random.Random(1)
-    now = at = 0
+def test_phi_grows_with_silence_and_a_regular_member_is_suspected_sooner_than_an_irregular_one():
+    regular, irregular, rng = IntervalHistory(0, 250 * MS), IntervalHistory(0, 250 * MS), random.Random(1)
+    now = irregular_at = 0
     for _ in range(60):
         now += 250 * MS
-        steady.record_line(5, now)
-        at += chance.randrange(20, 900) * MS
-        fitful.record_line(5, at)
-    silence = [steady.phi(now + n * 100 * MS) for n in range(1, 12)]
-    assert silence == sorted(silence) and silence[0] < 1 and silence[-1] > SUSPECT
-    assert fitful.phi(at + 700 * MS) < 2 < SUSPECT < steady.phi(now + 700 * MS)
+        regular.record_line(5, now)
+        irregular_at += rng.randrange(20, 900) * MS
+        irregular.record_line(5, irregular_at)
+    phis = [regular.phi(now + n * 100 * MS) for n in range(1, 12)]
+    assert phis == sorted(phis) and phis[0] < 1 and phis[-1] > SUSPECT_PHI
+    assert irregular.phi(irregular_at + 700 * MS) < 2 < SUSPECT_PHI < regular.phi(now + 700 * MS)
 
 
-def test_a_restart_is_no_long_interval_and_a_standstill_here_is_no_silence_there():
-    one = Heard(0, 250 * MS)
+def test_a_restart_is_not_learned_as_an_interval_and_a_stop_of_this_process_is_not_silence_of_another():
+    history = IntervalHistory(0, 250 * MS)
     for n in range(1, 20):
-        one.record_line(5, n * 250 * MS)
-    before = list(one.intervals)
-    one.record_line(6, 60_000 * MS)
-    assert list(one.intervals) == before
-    members = FailureDetector(0, 2, 0, 250 * MS, 60 * MS)
+        history.record_line(5, n * 250 * MS)
+    intervals_before = list(history.intervals)
+    history.record_line(6, 60_000 * MS)
+    assert list(history.intervals) == intervals_before
+    detector = FailureDetector(0, 2, 0, 250 * MS, 60 * MS)
     for n in range(1, 100):
-        members.check_standstill(n * 60 * MS)
+        detector.check_standstill(n * 60 * MS)
         if n % 4 == 0:
-            members.record_line(1, 5, n * 60 * MS)
-    late = 99 * 60 * MS + 10_000 * MS
-    assert members.is_suspected(1, late)
-    assert members.check_standstill(late) >= 9_000 * MS and not members.is_suspected(1, late)
+            detector.record_line(1, 5, n * 60 * MS)
+    after_stop = 99 * 60 * MS + 10_000 * MS
+    assert detector.is_suspected(1, after_stop)
+    assert detector.check_standstill(after_stop) >= 9_000 * MS and not detector.is_suspected(1, after_stop)
 
 
-def test_what_is_wanted_at_two_members_is_agreed_in_one_order_everywhere():
+def test_entries_requested_at_several_members_are_agreed_in_one_order_everywhere():
     world = World(5, 1)
     world.begin()
     for n in range(5):
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_killed_holder_is_followed_within_three_seconds_and_comes_back_knowing(seed):
+def test_a_killed_coordinator_is_replaced_within_three_seconds_and_rejoins_with_the_agreed_value(seed):
     world = World(5, seed)
     world.begin()
     first = world.acted[-1]
@@ -66,8 +66,8 @@
     assert world.most_acting == 1
 
 
-def test_a_member_that_forgot_counts_again_only_after_what_it_may_have_backed_has_ended():
-    """Found with processes: it was back after 0.4 s of a lease of 1 s, for one of two steps did not ask."""
+def test_a_member_without_memory_rejoins_only_after_the_lease_that_it_may_have_supported():
+    """In tests with processes such a member was back after 0.4 s of a lease of 1 s, because one of two steps did not check the lease."""
     world = World(3, 2)
     world.begin()
     other = next(n for n in range(3) if n != world.acted[-1])
@@ -79,7 +79,7 @@
     assert world.nodes[other].register.life > 1
 
 
-def test_a_holder_that_stands_still_acts_no_more_when_it_goes_on():
+def test_a_stopped_coordinator_is_replaced_and_is_none_when_it_continues():
     world = World(5, 3)
     world.begin()
     first = world.acted[-1]
@@ -90,22 +90,23 @@
     assert not world.nodes[first].is_coordinator(world.now)
     world.run(4000)
     assert world.most_acting == 1
-    assert len({node.register.promised for node in world.nodes}) == 1  # found with processes: it asked on and followed nobody
+    # In tests with processes it went on requesting ballots and followed nobody.
+    assert len({node.register.promised for node in world.nodes}) == 1
 
 
-def test_a_member_that_asked_in_vain_while_it_heard_nobody_is_taken_in_again():
+def test_a_member_that_requested_ballots_while_it_read_nobody_takes_part_again():
     world = World(3, 7)
     world.begin()
-    alone = next(n for n in range(3) if n != world.acted[-1])
-    world.cut = {(m, alone) for m in range(3)}
+    isolated = next(n for n in range(3) if n != world.acted[-1])
+    world.cut = {(m, isolated) for m in range(3)}
     world.run(8000)
     world.cut = set()
-    assert world.nodes[alone].register.promised[0] > 3
+    assert world.nodes[isolated].register.promised[0] > 3
     world.run(4000)
     assert len({node.register.promised for node in world.nodes}) == 1 and world.most_acting == 1
 
 
-def test_two_of_five_change_nothing_and_take_over_what_the_three_agreed_once_the_cut_heals():
+def test_two_of_five_members_decide_nothing_and_adopt_the_decision_of_the_three_once_the_partition_heals():
     world = World(5, 4)
     world.begin()
     world.cut = {(a, b) for a in range(5) for b in range(5) if (a < 2) != (b < 2)}
@@ -115,7 +116,7 @@
     world.run(4000)
     assert [[body for _, body in node.agreed_value() or ()] for node in world.nodes] == [[]] * 2 + [["out by three"]] * 3
     assert not any(node.is_coordinator(world.now) for node in world.nodes[:2])
-    world.cut = {(a, b) for a in range(5) for b in range(5) if (a in (0, 4)) != (b in (0, 4))}  # splits otherwise
+    world.cut = {(a, b) for a in range(5) for b in range(5) if (a in (0, 4)) != (b in (0, 4))}  # another partition
     world.run(5000)
     world.cut = set()
     world.run(5000)
@@ -123,10 +124,10 @@
     assert world.most_acting == 1
 
 
-def test_one_way_loss_leaves_one_acting_member_that_all_who_hear_it_follow():
+def test_one_way_loss_leaves_one_coordinator_that_all_who_read_it_follow():
     world = World(5, 5)
     world.begin()
-    world.cut = {(0, b) for b in range(1, 5)}  # 0 hears all and is not heard
+    world.cut = {(0, b) for b in range(1, 5)}  # member 0 reads all others and is read by none
     world.run(6000)
     world.want(2, "out c2")
     world.run(4000)
@@ -134,21 +135,21 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_days_of_faults_keep_one_order_and_one_acting_member(seed):
+def test_random_faults_leave_one_sequence_of_decisions_and_one_coordinator(seed):
     world = World(5, seed)
     world.begin()
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     for n in range(30):
-        world.cut = {(chance.randrange(5), chance.randrange(5)) for _ in range(chance.randrange(6))}
-        world.stopped = {chance.randrange(5)} if chance.random() < 0.4 else set()
+        world.cut = {(rng.randrange(5), rng.randrange(5)) for _ in range(rng.randrange(6))}
+        world.stopped = {rng.randrange(5)} if rng.random() < 0.4 else set()
         for m in list(world.down):
-            if chance.random() < 0.7:
+            if rng.random() < 0.7:
                 world.start(m)
         alive = [m for m in range(5) if m not in world.down and world.nodes[m].register.life]
-        if len(alive) > 3 and chance.random() < 0.5:
-            world.kill(chance.choice(alive))
-        world.want(chance.randrange(5), f"out c{n}")
-        world.run(chance.randrange(300, 3000))
+        if len(alive) > 3 and rng.random() < 0.5:
+            world.kill(rng.choice(alive))
+        world.want(rng.randrange(5), f"out c{n}")
+        world.run(rng.randrange(300, 3000))
     for m in list(world.down):
         world.start(m)
     world.cut, world.stopped = set(), set()
@@ -158,7 +159,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, said",
+    "change, message",
     [
         ({"fleet": "other"}, "fleet: other"),
         ({"register": None}, "register"),
@@ -167,11 +168,11 @@
         ({"backs": [[1, 2], 3], "tick": [[0, -1], -1]}, "tick"),
     ],
 )
-def test_a_line_that_is_none_changes_nothing(change, said):
+def test_an_invalid_line_changes_nothing(change, message):
     world = World(3, 1)
     line = world.nodes[1].line()
-    with pytest.raises(register_codec.BadLine, match=said):
+    with pytest.raises(register_codec.BadLine, match=message):
         world.nodes[0].receive_line(1, line | change, 0)
-    assert world.nodes[0].views[1] is None and world.nodes[0].said[1] is None
+    assert world.nodes[0].views[1] is None and world.nodes[0].acks[1] is None
     with pytest.raises(register_codec.BadLine, match="member"):
         world.nodes[0].receive_line(2, line, 0)
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""Several processes of the program that settle who acts, with faults between them: killed, stopped, restarted, cut off."""
+"""Router processes that choose a coordinator, with faults between them: killed, stopped, restarted, cut off."""
 
 import signal
 import time
@@ -10,7 +10,7 @@
 from fieldspur.bench.path import free_port
 
 
-def test_nothing_begins_by_itself_and_a_killed_member_is_followed_and_comes_back_without_memory(routers):
+def test_no_fleet_begins_by_itself_and_a_killed_coordinator_is_replaced_and_rejoins_without_memory(routers):
     fleet = routers(3)
     time.sleep(2.0)
     assert not any(fleet.published_line(n)["register"]["life"] for n in range(3)) and not any(fleet.is_coordinator(n) for n in range(3))
@@ -21,12 +21,12 @@
     fleet.restart(first)
     until(lambda: fleet.published_line(first) and fleet.published_line(first)["register"]["life"] > 1, "a member that counts again")
     assert fleet.published_line(first)["register"]["promised"][1] == second
-    client = fleet.services[first].client()  # and it serves
+    client = fleet.services[first].client()  # it also serves
     client.ask(1)
     assert client.get()[2] == 79
 
 
-def test_a_stopped_holder_acts_no_more_once_it_goes_on(routers):
+def test_a_stopped_coordinator_resigns_once_it_continues(routers):
     fleet = routers(3)
     first, _ = fleet.found_fleet()
     fleet.services[first].process.send_signal(signal.SIGSTOP)
@@ -37,7 +37,7 @@
     assert fleet.is_coordinator(second)
 
 
-def test_two_of_three_that_lose_their_memory_leave_a_fleet_that_serves_and_changes_nothing(routers):
+def test_two_of_three_members_that_lose_their_memory_leave_a_fleet_that_serves_and_decides_nothing(routers):
     fleet = routers(3)
     fleet.found_fleet()
     for n in (0, 1):
@@ -53,7 +53,7 @@
     assert not any(fleet.is_coordinator(n) for n in range(3))
 
 
-def test_with_a_directory_all_may_be_killed_and_the_fleet_goes_on_where_it_was(routers):
+def test_with_folders_all_members_may_be_killed_and_the_fleet_continues_from_its_state(routers):
     fleet = routers(3, disk=True)
     fleet.found_fleet()
     promised = max(fleet.published_line(n)["register"]["promised"] for n in range(3))
@@ -67,12 +67,12 @@
     assert max(fleet.published_line(n)["register"]["promised"] for n in range(3)) > promised
 
 
-def test_a_holder_that_is_heard_by_nobody_gives_way_and_a_stalled_link_catches_up(routers):
+def test_a_coordinator_that_nobody_reads_is_replaced_and_a_stalled_link_catches_up(routers):
     fleet = routers(3)
     first, _ = fleet.found_fleet()
     for n in range(3):
         if n != first:
-            fleet.links[n, first].stalled.set()  # it hears them, they do not hear it
+            fleet.links[n, first].stalled.set()  # it reads the others, and they don't read it
     second, _ = fleet.wait_for_coordinator(excluding=[first])
     until(lambda: not fleet.is_coordinator(first))
     for link in fleet.links.values():
@@ -81,7 +81,7 @@
     assert sum(fleet.is_coordinator(n) for n in range(3)) == 1
 
 
-def test_a_member_cut_off_both_ways_does_not_act_and_the_others_do(routers):
+def test_a_coordinator_cut_off_both_ways_resigns_and_is_replaced(routers):
     fleet = routers(3)
     first, _ = fleet.found_fleet()
     for (a, b), link in fleet.links.items():
@@ -95,7 +95,7 @@
 
 
 @pytest.mark.parametrize(
-    "change, said",
+    "change, message",
     [
         ({"members": {"n1": "127.0.0.1:1 z", "n2": "127.0.0.1:2 z"}}, "fleet.members: n0, this router, is not among them"),
         ({"folder": "/nowhere/at/all"}, "fleet.folder: /nowhere/at/all"),
@@ -107,7 +107,7 @@
         ({"members": {"n0": "127.0.0.1:7 z", "n1": "127.0.0.1:7 z"}}, "fleet.members.n1: the address of n0"),
     ],
 )
-def test_a_fleet_that_can_t_be_is_named_at_the_start(run, change, said):
-    wishes = {"name": "valley", "members": {"n0": f"{HOST}:{free_port(HOST)} z", "n1": "127.0.0.1:2 z"}} | change
-    service = run(Cache(), operators={"fleet": wishes})
-    assert service.process.wait(20) == 2 and said in service.lines()
+def test_a_start_with_invalid_fleet_settings_names_the_faulty_key(run, change, message):
+    settings = {"name": "valley", "members": {"n0": f"{HOST}:{free_port(HOST)} z", "n1": "127.0.0.1:2 z"}} | change
+    service = run(Cache(), operators={"fleet": settings})
+    assert service.process.wait(20) == 2 and message in service.lines()
