--- a/fieldspur/net/__init__.py
+++ b/fieldspur/net/__init__.py
@@ -1,1 +1,1 @@
-"""The service: one router on real sockets round the decision module."""
+"""The network side of the router: client and server connections on real sockets around the decision module."""
--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -1,4 +1,6 @@
-"""Validity, a number of our own and the time limit. What is well formed goes to the Router; nothing is decided."""
+"""Checks clients' requests, gives each a number and a time limit, and passes valid ones on to the Router as txns.
+
+Requests are refused here only if they are invalid or a limit of this process is reached; routing is decided elsewhere."""
 
 from __future__ import annotations
 
@@ -13,48 +15,50 @@
 from fieldspur.site import MS, Deployment
 
 log = logging.getLogger("fieldspur.admit")
-SLACK = 50 * MS  # what the protocol adds to each time limit. A router can't see how long a request lay in its socket
-# or how long its answer takes to be read; half of the slack is taken to go each way, and none is spent on waiting.
-# Where the Router runs behind, so much more is taken off, for it would answer late by that.
+# The protocol adds this to each time limit. A router cannot see how long a request lay in its socket, nor how long the
+# client takes to read the answer, so half of the slack is reserved for each of the two ways and none for waiting.
+PROTOCOL_SLACK = 50 * MS
 
 
 class Admission:
-    def __init__(self, site: Deployment, open_txns: OpenTxns, route, most_bytes: int):
-        self.open_txns, self.route, self.most_open, self.most_bytes = open_txns, route, site.most_open, most_bytes
+    """Turns requests into open txns, or answers them at once."""
+
+    def __init__(self, site: Deployment, open_txns: OpenTxns, route, max_body_bytes: int):
+        self.open_txns, self.route, self.max_open_txns, self.max_body_bytes = open_txns, route, site.most_open, max_body_bytes
         self.retry_after_ms = site.router["longest_come_back"] // MS
-        self.refusals = ReasonCounter(Refusal)  # requests turned away here
-        self.latest_deadline = NEVER  # every txn has its answer by then: an ending program is killed soon after
-        self.limits = [rule.limit for rule in site.rules]
-        self.rules = {name: (at, site.rules[at].kind == "keyed") for at, name in enumerate(site.rule_names)}
+        self.refusals = ReasonCounter(Refusal)  # requests that were rejected here, by reason
+        self.latest_deadline = NEVER  # caps the deadline of every txn; an ending program is killed shortly after it
+        self.time_limits = [rule.limit for rule in site.rules]
+        self.rules = {name: (index, site.rules[index].kind == "keyed") for index, name in enumerate(site.rule_names)}  # index, is keyed
 
-    def handle_request(self, request: Request | UnusableRequest, client_writer: ClientWriter, now: int) -> bool:
-        """Exactly one answer follows on the request's stream, unless it is withdrawn. Whether it was of use."""
+    def handle_request(self, request: Request | UnusableRequest, client_writer: ClientWriter, received_at: int) -> bool:
+        """Ensures that the request gets exactly one answer on its stream, unless it is withdrawn. Returns whether it was usable."""
         if isinstance(request, Request):
-            at, keyed = self.rules.get(request.rule, (-1, False))
-            why = (
+            rule_index, keyed = self.rules.get(request.rule, (-1, False))
+            problem = (
                 "verb: unknown"
-                if at < 0
+                if rule_index < 0
                 else "unique: missing"
                 if keyed and not request.key
                 else "txn: used before"
-                if self.open_txns.known(request.txn)
+                if self.open_txns.is_known_name(request.txn)
                 else ""
             )
         else:
-            at, why = -1, request.why
-        ident = next(self.open_txns.idents)
+            rule_index, problem = -1, request.why
+        ident = next(self.open_txns.txn_numbers)
         if not client_writer.open_stream(request.stream, ident):
             return False
-        if why:
+        if problem:
             self.open_txns.count("unusable")
-            log.warning("unusable", extra={"kv": {"why": why}})
+            log.warning("unusable", extra={"kv": {"why": problem}})
             client_writer.answer(request.stream, Answer("aborted"))
             return False
-        limit = min(request.limit, self.limits[at])  # nobody may hold a place here for longer
+        time_limit = min(request.limit, self.time_limits[rule_index])  # a client cannot keep a txn open for longer than its rule allows
         txn = Txn(
             ident,
             request.txn,
-            at,
+            rule_index,
             request.rule,
             request.obj,
             request.part,
@@ -63,18 +67,19 @@
             request.key,
             request.tag,
             request.body,
-            now,
-            min(now + limit - SLACK // 2 - self.route.behind, self.latest_deadline),
+            received_at,
+            # A Router that lags by `behind` would answer late by as much, so the lag shortens the time limit.
+            min(received_at + time_limit - PROTOCOL_SLACK // 2 - self.route.behind, self.latest_deadline),
             client_writer,
             request.stream,
         )
         refusal = take_refusal(
             len(self.open_txns.by_id),
-            self.most_open,
+            self.max_open_txns,
             len(self.route.queue),
             self.route.most_queued,
-            self.open_txns.bytes + len(txn.body),
-            self.most_bytes,
+            self.open_txns.body_bytes + len(txn.body),
+            self.max_body_bytes,
         )
         if refusal is not None:
             self.open_txns.count("full")
--- a/fieldspur/net/arrival_times.py
+++ b/fieldspur/net/arrival_times.py
@@ -1,9 +1,10 @@
-"""When the requests of one read came. A request's time limit runs from its coming, also where its reader could not read at once.
+"""Estimates when the requests of one read arrived. A request's time limit runs from its arrival, even if it was read late.
 
-The system tells only when the last bytes of a connection came (TCP_INFO), and joins what came before with them. Of the requests before the
-last one a late read knows bounds: they came no later than the last bytes, and no earlier than the last moment at which this reader is
-known to have been waiting at an empty socket. The earlier bound is used, for a request that is dated too early gets an early answer at
-worst, and one that is dated too late passes on a deadline that its client no longer has. Times are ns of the program's clock."""
+The system reports only when the last bytes of a connection arrived (TCP_INFO). The last request of a read is dated by
+that. The arrival of an earlier request in a late read has two bounds: the arrival of the last bytes, and the last moment
+at which the reader is known to have waited at an empty socket. The earlier bound is used: a request that is dated too
+early is at worst answered early, while for one that is dated too late servers would get a deadline that its client no
+longer has. Times are ns of the program's clock."""
 
 from __future__ import annotations
 
@@ -16,15 +17,15 @@
 from fieldspur.net.timer_wheel import NEVER
 from fieldspur.site import MS
 
-LATE_READ = 50 * MS  # since the read before: what is read now may have lain there for as long
-READS_BETWEEN_LOOKS = 256  # at the thread's waits for a core, for many short ones add up to a long one
+LATE_READ = 50 * MS  # a read that comes this long after the one before may return bytes that have lain in the socket
+READS_PER_CORE_WAIT_CHECK = 256  # the thread's core wait is read this often, as many short waits add up to a long one
 
 
-def core_wait(thread: int) -> int:
-    """For how long (ns) a thread of this process has waited for a core since it began, as schedstat in proc(5) counts it: its second
-    figure. 0 where the system does not tell. A stopped process waits for none."""
+def core_wait(thread_id: int) -> int:
+    """How long (ns) a thread of this process has waited for a CPU core since it began: the second number of its schedstat
+    file, see proc(5). 0 if the system does not report it. The time during which a process is stopped does not count."""
     try:
-        file = os.open(f"/proc/self/task/{thread}/schedstat", os.O_RDONLY | os.O_CLOEXEC)
+        file = os.open(f"/proc/self/task/{thread_id}/schedstat", os.O_RDONLY | os.O_CLOEXEC)
     except OSError:
         return 0
     try:
@@ -36,46 +37,48 @@
 
 
 class ArrivalTimes:
-    """Dates what one connection's reader reads. For that thread alone."""
+    """Dates what the reader of one connection reads. Only that reader's thread may use it."""
 
     def __init__(self, sock: socket.socket, answer_sender: AnswerSender):
         self.sock, self.answer_sender = sock, answer_sender
-        self.thread = threading.get_native_id()
-        self.read_at = 0  # when the reader last came back from a read
-        self.late_since = NEVER  # since when what is read now may have lain in the socket; NEVER: it was read at once
-        self.latest = 0  # when the last bytes of this read came
-        self.more: object = False  # true: further bytes lie behind this read
-        self.earliest: int | None = None  # when its first bytes came at the earliest, once somebody has asked
-        self.core_waited = 0  # by this thread, as of the last look
-        self.reads = 0  # since the last look
+        self.thread_id = threading.get_native_id()
+        self.read_at = 0  # when the latest read returned
+        self.late_since = NEVER  # bytes of this read may have lain in the socket since then; NEVER: they were read at once
+        self.latest = 0  # when the last bytes of this read arrived
+        self.more: object = False  # truthy if further bytes were in the socket after this read
+        self.earliest: int | None = None  # the earliest time at which bytes of this read can have arrived; None until it is needed
+        self.core_waited = 0  # `core_wait` of this thread at the last check
+        self.reads = 0  # number of reads since the last check of `core_wait`
 
     def read(self, now: int, more) -> None:
-        """A read has come back. `more`: true where further bytes lie behind it."""
-        if now - self.read_at > LATE_READ:  # this thread had no turn, or the process was stopped, or nothing came
+        """Notes that a read has returned. `more` is true if further bytes are in the socket."""
+        if now - self.read_at > LATE_READ:  # the thread had no core, the process was stopped, or nothing arrived
             self.late_since = min(self.late_since, self.read_at)
         self.read_at, self.more, self.earliest = now, more, None
         self.latest = now if self.late_since == NEVER else now - min(time_since_last_data(self.sock), now - self.late_since)
         self.reads += 1
-        if self.reads >= READS_BETWEEN_LOOKS:
-            self.first()
+        if self.reads >= READS_PER_CORE_WAIT_CHECK:
+            self.earliest_arrival()
 
-    def first(self) -> int:
-        """No byte of this read came before."""
+    def earliest_arrival(self) -> int:
+        """A time before which no byte of this read arrived."""
         if self.earliest is None:
-            waited = core_wait(self.thread)
-            turn = self.read_at - max(0, waited - self.core_waited)
+            waited = core_wait(self.thread_id)
+            runnable_since = self.read_at - max(0, waited - self.core_waited)
             self.core_waited, self.reads = waited, 0
-            self.earliest = max(min(self.late_since, self.latest), min(self.latest, turn, self.answer_sender.stalled_since(self.read_at)))
+            self.earliest = max(
+                min(self.late_since, self.latest), min(self.latest, runnable_since, self.answer_sender.stalled_since(self.read_at))
+            )
         return self.earliest
 
     def of_request(self, followed: bool) -> int:
-        """From when the time of a request counts that this read completed. `followed`: the read brought bytes behind it. It is `latest`
-        without a call where `late_since` is NEVER."""
-        return self.first() if followed or self.more else self.latest
+        """The time from which the time limit of a request counts that this read completed. `followed` is true if the read returned
+        further bytes after the request. If `late_since` is NEVER, a caller may use `latest` without this call."""
+        return self.earliest_arrival() if followed or self.more else self.latest
 
     def all_processed(self, unfinished: bool) -> None:
-        """All requests of this read are taken. `unfinished`: it ended within one."""
-        if (self.more or unfinished) and self.read_at - self.first() > LATE_READ:
-            self.late_since = self.first()  # what is behind came after it
+        """Notes that all requests of this read were handled. `unfinished` is true if the read ended within a request."""
+        if (self.more or unfinished) and self.read_at - self.earliest_arrival() > LATE_READ:
+            self.late_since = self.earliest_arrival()  # the bytes that follow in the socket arrived after this
         else:
-            self.late_since = NEVER  # what comes from now on is new
+            self.late_since = NEVER  # the next read returns new bytes only
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepting clients' connections and reading what they send, one thread a connection."""
+"""Accepts clients' connections and reads what they send, with one thread for each connection."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from fieldspur.net import frames
 from fieldspur.net.admission import Admission
-from fieldspur.net.arrival_times import LATE_READ, READS_BETWEEN_LOOKS, ArrivalTimes
+from fieldspur.net.arrival_times import LATE_READ, READS_PER_CORE_WAIT_CHECK, ArrivalTimes
 from fieldspur.net.client_writer import TICK, AnswerSender, ClientWriter
 from fieldspur.net.invariants import contained_errors, retry_while_exhausted
 from fieldspur.net.logs import ReasonCounter
@@ -21,194 +21,210 @@
 from fieldspur.site import MS
 
 log = logging.getLogger("fieldspur.takein")
-MOST_STREAMS = 32  # open on one connection
-MOST_AHEAD = 4096  # streams used out of order
-MOST_AFTER = 1 << 20  # bytes read on after what can't be read
-MOST_BEHIND = 4  # further reads before what was taken is handed over, while more lies there
+MAX_OPEN_STREAMS = 32  # open txns on one connection
+MAX_STREAMS_AHEAD = 4096  # stream numbers that a connection has used while a smaller one is still unused
+MAX_DISCARDED_BYTES = 1 << 20  # how much is read and discarded from a connection that gets no further answers
+MAX_READS_BEFORE_HANDOVER = 4  # further reads, while more bytes are in the socket, before admitted txns are handed to the Router
 BACKLOG = 512
-LISTEN_PAUSE = 0.1  # seconds between two tries to listen
-BACKLOG_WAIT = 1.0  # seconds for which a failing accept is tried again as the listener closes
-ROOM_WAIT, ACCEPT_PAUSE = 0.1, 0.01  # seconds for which a new connection waits for a descriptor; after an accept that failed
+LISTEN_RETRY_PAUSE_S = 0.1
+BACKLOG_WAIT_S = 1.0  # how long a failing accept is retried while the listener closes
+DESCRIPTOR_WAIT_S = 0.1  # how long a new connection waits for a free descriptor
+ACCEPT_RETRY_PAUSE_S = 0.01
 
 
 def encode(stream: int, answer: Answer) -> tuple:
-    return frames.answer(stream, answer.outcome, answer.retry_after_ms, answer.unchanged, answer.body)
+    """Encodes an answer as a frame of the client protocol."""
+    return frames.encode_answer(stream, answer.outcome, answer.retry_after_ms, answer.unchanged, answer.body)
 
 
-def listen_at(where: tuple[str, int]) -> socket.socket:
-    """A listener; where the system has no room for it now, that is tried again for a while. Raises OSError."""
+def listen_at(address: tuple[str, int]) -> socket.socket:
+    """Returns a listening socket. If the system lacks resources at the moment, it retries for a while. Raises OSError."""
 
     def listen() -> socket.socket:
         sock = socket.socket()
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            sock.bind(where)
+            sock.bind(address)
             sock.listen(BACKLOG)
         except OSError:
             sock.close()
             raise
         return sock
 
-    return retry_while_exhausted(listen, OSError, LISTEN_PAUSE)
+    return retry_while_exhausted(listen, OSError, LISTEN_RETRY_PAUSE_S)
 
 
 class UsedStreams:
-    """Stream numbers that a connection has used: all up to `low`, and some above."""
+    """Stream numbers that a connection has used: all up to `all_used_to`, and those in `used_above`."""
 
     def __init__(self):
-        self.low, self.above = 0, set()
+        self.all_used_to, self.used_above = 0, set()
 
-    def new(self, stream: int) -> bool:
-        if stream <= self.low or stream in self.above or len(self.above) >= MOST_AHEAD:
+    def use(self, stream: int) -> bool:
+        """Marks a stream number as used. Returns False if it cannot be used, because it was used before or is too far ahead."""
+        if stream <= self.all_used_to or stream in self.used_above or len(self.used_above) >= MAX_STREAMS_AHEAD:
             return False
-        self.above.add(stream)
-        while self.low + 1 in self.above:
-            self.low += 1
-            self.above.remove(self.low)
+        self.used_above.add(stream)
+        while self.all_used_to + 1 in self.used_above:
+            self.all_used_to += 1
+            self.used_above.remove(self.all_used_to)
         return True
 
 
 class ClientConnection:
-    """One client's connection; its reader runs `read`."""
+    """One client's connection. Its reader thread runs `read`."""
 
     def __init__(self, client_listener: ClientListener, sock: socket.socket):
         self.client_listener, self.sock = client_listener, sock
         self.client_writer = ClientWriter(sock, encode, client_listener.answer_sender)
-        self.client_writer.freed = self.free
-        self.used = UsedStreams()
-        self.since = time.monotonic()  # its accept, or when its unfinished frame began, or it could not be read
-        self.held = 0  # bytes of an unfinished frame
-        self.proved = False  # has sent a request that could be used
-        self.failed = False
+        self.client_writer.on_descriptor_freed = self.descriptor_freed
+        self.used_streams = UsedStreams()
+        self.state_since = time.monotonic()  # when it was accepted, its unfinished frame began, or reading it failed
+        self.unfinished_bytes = 0  # received bytes of an unfinished frame
+        self.sent_usable_request = False
+        self.failed = False  # it sent something unreadable, so further bytes are discarded
 
     def read(self) -> None:
-        decoder, after, behind, taken = frames.Decoder(), 0, 0, False
-        window, arrivals = decoder.window, ArrivalTimes(self.sock, self.client_listener.answer_sender)
-        looks = receive_poll(self.sock).poll
+        """Reads and handles what the client sends until the connection ends."""
+        decoder, discarded_bytes, further_reads, handled_any = frames.Decoder(), 0, 0, False
+        receive_buffer, arrivals = decoder.receive_buffer, ArrivalTimes(self.sock, self.client_listener.answer_sender)
+        poll = receive_poll(self.sock).poll
         try:
-            while size := self.sock.recv_into(window.view if self.failed or self.client_writer.shut_at else window.free_space()):
-                if self.failed or self.client_writer.shut_at:  # only to see its end, or what it was told might be lost in a reset
+            while size := self.sock.recv_into(
+                receive_buffer.view if self.failed or self.client_writer.shut_at else receive_buffer.free_space()
+            ):
+                # After a failure or a shut it reads on only to see the client's close: closing a socket with unread bytes
+                # resets the connection, and the client could lose the last answers.
+                if self.failed or self.client_writer.shut_at:
                     self.client_writer.processed_bytes += size
-                    after += size
-                    if after > MOST_AFTER and not self.client_writer.streams:
+                    discarded_bytes += size
+                    if discarded_bytes > MAX_DISCARDED_BYTES and not self.client_writer.streams:
                         break
                     self.client_writer.release_waiting()
                     continue
-                if (found := looks(0)) and found[0][1] & PEER_CLOSED:
-                    break  # nobody waits for what it sent; guards against attempts begun for thousands that send and go
+                if (events := poll(0)) and events[0][1] & PEER_CLOSED:
+                    break  # the client has left; otherwise hops would start for thousands of clients that send and close
                 now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-                if now - arrivals.read_at > LATE_READ or arrivals.late_since != NEVER or arrivals.reads >= READS_BETWEEN_LOOKS:
-                    arrivals.read(now, found)
-                else:  # the same, without a call in the ordinary case
+                if now - arrivals.read_at > LATE_READ or arrivals.late_since != NEVER or arrivals.reads >= READS_PER_CORE_WAIT_CHECK:
+                    arrivals.read(now, events)
+                else:  # does the same as `arrivals.read` in the usual case, without a call
                     arrivals.read_at = arrivals.latest = now
                     arrivals.reads += 1
                 self.client_listener.route.gather()
                 try:
-                    for value in decoder.filled(size):
-                        self.took(
-                            value, arrivals.latest if arrivals.late_since == NEVER else arrivals.of_request(window.start < window.end)
+                    for value in decoder.decode_received(size):
+                        self.handle(
+                            value,
+                            arrivals.latest
+                            if arrivals.late_since == NEVER
+                            else arrivals.of_request(receive_buffer.start < receive_buffer.end),
                         )
-                        taken = True
+                        handled_any = True
                         if self.failed:
                             break
-                    held = window.end - window.start
+                    unfinished_bytes = receive_buffer.end - receive_buffer.start
                     if arrivals.late_since != NEVER:
-                        arrivals.all_processed(unfinished=held > 0)
-                    if held or self.held:
-                        self.hold(held)
+                        arrivals.all_processed(unfinished=unfinished_bytes > 0)
+                    if unfinished_bytes or self.unfinished_bytes:
+                        self.set_unfinished(unfinished_bytes)
                 except frames.BadFrame as bad:
                     self.fail(str(bad))
                 finally:
                     self.client_writer.processed_bytes += size
-                    # What lies behind may take back what was just read; guards against an attempt begun for what is cancelled
-                    # already. A few reads, for others wait meanwhile.
-                    behind = behind + 1 if found and taken and behind < MOST_BEHIND and not self.failed else 0
-                    if not behind:
-                        taken = False
+                    # Bytes that are still in the socket may cancel what was just read, so they are read before a hop starts.
+                    # Only a few reads are made first, as the handover of this connection's txns waits meanwhile.
+                    further_reads = (
+                        further_reads + 1 if events and handled_any and further_reads < MAX_READS_BEFORE_HANDOVER and not self.failed else 0
+                    )
+                    if not further_reads:
+                        handled_any = False
                         self.client_listener.route.handle()
-                        if self.client_writer.asked:
+                        if self.client_writer.release_needed:
                             self.client_writer.release_waiting()
         except OSError:
-            pass  # reset: as if it had closed
+            pass  # a reset is handled like a close
         except Exception:
             contained_errors.record("client")
-        self.hold(0)
-        self.client_listener.ended(self)
+        self.set_unfinished(0)
+        self.client_listener.connection_ended(self)
         self.client_listener.route.handle()
         self.client_writer.release_waiting()
 
-    def free(self) -> None:
-        self.client_writer.freed = None  # else each holds the other until the collector looks, which is rare
+    def descriptor_freed(self) -> None:
+        self.client_writer.on_descriptor_freed = None  # breaks a reference cycle, which would wait for a rare garbage collection
         self.client_listener.connection_freed(self)
 
-    def hold(self, size: int) -> None:
-        if size and not self.held:
-            self.since = time.monotonic()
-        if size != self.held:
-            self.client_listener.hold(self, size)
+    def set_unfinished(self, size: int) -> None:
+        """Notes how many bytes of an unfinished frame were received."""
+        if size and not self.unfinished_bytes:
+            self.state_since = time.monotonic()
+        if size != self.unfinished_bytes:
+            self.client_listener.set_unfinished(self, size)
 
     def fail(self, why: str) -> None:
-        """Nothing further is read of it; it is told, and closed once it has what it is owed."""
-        self.hold(0)
-        self.failed, self.since = True, time.monotonic()
+        """Stops handling what the client sends, tells it so, and closes the connection once all owed answers are sent."""
+        self.set_unfinished(0)
+        self.failed, self.state_since = True, time.monotonic()
         log.warning("unreadable", extra={"kv": {"why": why}})
-        self.client_writer.write(frames.unreadable())
+        self.client_writer.write(frames.encode_unreadable())
         self.client_writer.close_when_done()
 
-    def took(self, value, now: int) -> None:
-        """An unforeseen error over what came costs this connection: the request that it was about is answered, nothing further is read, and
-        what else is owed still comes."""
+    def handle(self, value, received_at: int) -> None:
+        """Handles one decoded frame. An unexpected error costs this connection: the request at hand is answered, nothing further is
+        read, and the other owed answers are still sent."""
         try:
             if isinstance(value, frames.Withdrawal):
                 ident = self.client_writer.streams.pop(value.stream, None)
                 if ident is not None:
                     self.client_listener.withdraw(ident)
             elif isinstance(value, frames.ReadyQuery):
-                self.client_writer.write(frames.ready(value.stream, self.client_listener.ready))
-            elif not self.used.new(value.stream):
+                self.client_writer.write(frames.encode_ready_reply(value.stream, self.client_listener.ready))
+            elif not self.used_streams.use(value.stream):
                 raise frames.BadFrame("stream used again")
-            elif len(self.client_writer.streams) >= MOST_STREAMS:
+            elif len(self.client_writer.streams) >= MAX_OPEN_STREAMS:
                 self.client_writer.write(encode(value.stream, Answer("rejected", self.client_listener.admission.retry_after_ms)))
             else:
-                self.proved |= self.client_listener.admission.handle_request(value, self.client_writer, now)
+                self.sent_usable_request |= self.client_listener.admission.handle_request(value, self.client_writer, received_at)
         except frames.BadFrame:
             raise
         except Exception:
             contained_errors.record("client")
-            self.fail_over(value.stream)
+            self.fail_stream(value.stream)
 
-    def fail_over(self, stream: int) -> None:
-        """An error came over what the client sent on that stream: a request there that is in no list of open ones is answered here."""
+    def fail_stream(self, stream: int) -> None:
+        """Fails the connection after an unexpected error in a frame on this stream. If the stream has a request that is not among the
+        open txns, nothing else would answer it, so it is answered here."""
         ident = self.client_writer.streams.get(stream)
         if ident is not None and ident not in self.client_listener.open_txns.by_id:
             self.client_writer.answer(stream, Answer("aborted"))
         self.fail("internal error")
 
     def has_unread_bytes(self) -> bool:
-        """Guards against a process that was stopped: what came meanwhile lies unread, and the look at idle connections may have its
-        turn before their readers. A request there is owed its answer."""
-        with self.client_writer.lock:  # its descriptor is closed under it
+        """Whether the socket holds bytes from a client that has not closed. A request among them is owed an answer.
+
+        After the process was stopped, the sweep for idle connections may run before the readers have read what arrived meanwhile."""
+        with self.client_writer.lock:  # the socket is closed under this lock
             return not self.client_writer.ended and any(event == select.POLLIN for _, event in receive_poll(self.sock).poll(0))
 
-    def in_hand(self) -> bool:
-        """Whether its reader has read bytes that it has not worked off, as far as the system tells: a request among them is owed its
-        answer, and would not be taken once this side is shut."""
+    def has_unprocessed_bytes(self) -> bool:
+        """Whether the reader has yet to process received bytes, as far as the system reports their number. A request among them is
+        owed an answer, and would not be admitted once this side is shut."""
         with self.client_writer.lock:
             return not self.client_writer.ended and (bytes_received(self.sock) or 0) > self.client_writer.processed_bytes
 
-    def overdue(self, now: float) -> CloseReason | None:
-        """Why it is to be closed now, if it is."""
+    def reason_to_close(self, now: float) -> CloseReason | None:
+        """Why the connection is to be closed now; None if it is not."""
         client_writer = self.client_writer
         return close_reason(
             ClientState(
                 client_writer.shut_at,
                 bool(client_writer.streams),
-                client_writer.writing,
+                client_writer.draining,
                 self.failed,
-                self.held,
-                self.since,
+                self.unfinished_bytes,
+                self.state_since,
                 client_writer.idle_since,
-                self.proved,
+                self.sent_usable_request,
             ),
             now,
             self.client_listener.client_timeout_ms / 1e3,
@@ -216,49 +232,52 @@
 
 
 class ClientListener:
+    """Accepts clients' connections, keeps the list of them, and closes those that are idle or hold too many resources."""
+
     def __init__(
         self,
-        listen: tuple[str, int],
+        address: tuple[str, int],
         max_clients: int,
         max_unfinished_bytes: int,
-        gone_after: int,
-        admit: Admission,
+        client_timeout: int,
+        admission: Admission,
         open_txns: OpenTxns,
         route,
         answer_sender: AnswerSender,
     ):
-        self.admission, self.open_txns, self.route, self.answer_sender = admit, open_txns, route, answer_sender
-        self.max_clients, self.client_timeout_ms = max_clients, gone_after // MS
-        self.max_unfinished_bytes, self.bytes = max_unfinished_bytes, 0  # of unfinished frames
-        self.ready = self.over = False  # over: the program's end has begun
-        self.spare = max(2, max_clients // 16)
+        self.admission, self.open_txns, self.route, self.answer_sender = admission, open_txns, route, answer_sender
+        self.max_clients, self.client_timeout_ms = max_clients, client_timeout // MS
+        self.max_unfinished_bytes, self.unfinished_bytes = max_unfinished_bytes, 0  # of unfinished frames, of all connections
+        self.ready = self.end_began = False  # end_began: the program has begun to end
+        self.spare_descriptors = max(2, max_clients // 16)
         self.clients: set[ClientConnection] = set()
-        self.close_reasons = ReasonCounter(CloseReason)  # connections closed by this side
+        self.close_reasons = ReasonCounter(CloseReason)  # connections that this side closed
         self.lock = threading.Lock()
-        self.room = threading.Condition(self.lock)  # told when a descriptor is free
-        self.listening_socket = listen_at(listen)
+        self.descriptor_freed = threading.Condition(self.lock)
+        self.listening_socket = listen_at(address)
         self.accepting = Accepting()
-        self.accepter: threading.Thread | None = None  # the thread in `run`
-        self.closing = self.closed = False  # connections are to come no more; the listener is closed
+        self.accept_thread: threading.Thread | None = None  # the thread in `run`
+        self.closing = self.closed = False  # closing: no new connections are wanted; closed: the accept thread is to end
 
     def run(self) -> None:
-        self.accepter = threading.current_thread()
+        """Accepts connections until the listener is closed."""
+        self.accept_thread = threading.current_thread()
         while not self.closed:
             try:
                 sock, _ = self.listening_socket.accept()
-            except OSError as wrong:
+            except OSError as error:
                 if not self.closing:
-                    log.error("accept", extra={"kv": {"why": str(wrong)}})
-                    if self.accepting.make_room(wrong.errno, time.monotonic()) and self.make_room(none=True):
+                    log.error("accept", extra={"kv": {"why": str(error)}})
+                    if self.accepting.make_room(error.errno, time.monotonic()) and self.free_descriptor(none_left=True):
                         continue
-                time.sleep(ACCEPT_PAUSE)  # else it would be told so again and again, by a whole core
+                time.sleep(ACCEPT_RETRY_PAUSE_S)  # without the pause, a lasting error would keep a whole core busy
                 continue
             self.accepting.succeeded()
             self.add_connection(sock)
 
     def add_connection(self, sock: socket.socket) -> None:
-        """A connection that was accepted gets its reader, or is closed where there is no room."""
-        if len(self.clients) >= self.max_clients and not self.make_room():
+        """Starts the reader of an accepted connection, or closes the connection if there is no capacity for it."""
+        if len(self.clients) >= self.max_clients and not self.free_descriptor():
             log.warning("clients_full", extra={"kv": {"clients": len(self.clients)}})
             self.close_reasons.add(CloseReason.DESCRIPTORS)
             sock.close()
@@ -266,7 +285,7 @@
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, self.client_timeout_ms)
-        except OSError:  # it was reset before it came here, on systems that say so
+        except OSError:  # some systems report here that the client has reset the connection
             self.close_reasons.add(CloseReason.NO_OPTIONS)
             sock.close()
             return
@@ -275,139 +294,152 @@
             self.clients.add(client)
         try:
             threading.Thread(target=client.read, name="client", daemon=True).start()
-        except RuntimeError as wrong:  # the system gives no further thread
-            log.error("accept", extra={"kv": {"why": str(wrong)}})
+        except RuntimeError as error:  # the system gives no further thread
+            log.error("accept", extra={"kv": {"why": str(error)}})
             self.close_reasons.add(CloseReason.NO_THREAD)
-            self.ended(client)
+            self.connection_ended(client)
 
     def run_sweep(self) -> None:
-        """Closes connections that have been given their time."""
+        """Closes, every `TICK`, the connections that have run out of time."""
         while True:
             self.answer_sender.tick(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
             time.sleep(TICK / 1e9)
             self.sweep(time.monotonic())
 
     def sweep(self, now: float) -> None:
+        """Closes the connections that have run out of time."""
         with self.lock:
             clients = list(self.clients)
         for client in clients:
-            why = client.overdue(now)
+            why = client.reason_to_close(now)
             if why and not (why in (CloseReason.IDLE, CloseReason.HALF_FRAME) and client.has_unread_bytes()):
-                self.closing_for(client, why)
+                self.note_close(client, why)
                 if client.client_writer.shut_at:
                     client.client_writer.cut_off()
                 elif client.client_writer.streams:
                     client.fail(why)
-                elif client.client_writer.writing:
+                elif client.client_writer.draining:
                     client.client_writer.cut_off()
                 else:
                     client.client_writer.shut_if_idle()
 
-    def closing_for(self, client: ClientConnection, why: CloseReason) -> None:
+    def note_close(self, client: ClientConnection, why: CloseReason) -> None:
         """Counts and logs why a client's connection is shut or cut off."""
         self.close_reasons.add(why)
-        log.info("closed", extra={"kv": {"why": why.value, "open": len(client.client_writer.streams), "held": client.held}})
+        log.info("closed", extra={"kv": {"why": why.value, "open": len(client.client_writer.streams), "held": client.unfinished_bytes}})
 
-    def make_room(self, none: bool = False) -> bool:
-        """Whether there is a descriptor for one more. Each counts until it is free: beyond `max_clients` there are `spare` for
-        those whose side was shut and who have not closed theirs yet. One without a txn is shut: of those that never sent a request
-        of use, if there are any, and of these the one idle for longest. Where even the spare ones are taken, the one that was shut
-        first is cut off and its descriptor waited for, a moment at most; so it is where the system has `none` left, whoever took them."""
+    def free_descriptor(self, none_left: bool = False) -> bool:
+        """Tries to make a descriptor available for one more connection. Returns whether there is one.
+
+        A connection counts until its descriptor is free. Beyond `max_clients` there are `spare_descriptors` for connections
+        that this side has shut and the client has not closed yet. First one connection without a txn is shut: preferably one
+        that never sent a usable request, and among those the one that has been idle for longest. If even the spare descriptors
+        are in use, the connections that were shut first are cut off, and a freed descriptor is awaited for a short time. The
+        same happens with `none_left`: the system itself has no descriptor left, whoever uses them."""
         with self.lock:
             for client in sorted(
                 (c for c in self.clients if not c.client_writer.streams and not c.client_writer.shut_at),
-                key=lambda c: (c.proved, c.client_writer.idle_since),
+                key=lambda c: (c.sent_usable_request, c.client_writer.idle_since),
             ):
                 if not client.has_unread_bytes() and client.client_writer.shut_if_idle():
-                    self.closing_for(client, CloseReason.DESCRIPTORS)
+                    self.note_close(client, CloseReason.DESCRIPTORS)
                     break
-            shut = sorted((c for c in self.clients if c.client_writer.shut_at), key=lambda c: c.client_writer.shut_at)
-            most = len(self.clients) if none else self.max_clients + self.spare
-            if not shut or len(self.clients) < most:
-                return bool(shut)
-            if none:
-                shut = [client for client in shut if may_cut(client.client_writer.shut_at, time.monotonic())]
-            for client in shut[: 1 + len(shut) // 2]:
+            shut_clients = sorted((c for c in self.clients if c.client_writer.shut_at), key=lambda c: c.client_writer.shut_at)
+            limit = len(self.clients) if none_left else self.max_clients + self.spare_descriptors
+            if not shut_clients or len(self.clients) < limit:
+                return bool(shut_clients)
+            if none_left:
+                shut_clients = [client for client in shut_clients if may_cut(client.client_writer.shut_at, time.monotonic())]
+            for client in shut_clients[: 1 + len(shut_clients) // 2]:
                 client.client_writer.cut_off()
-            return self.room.wait_for(lambda: len(self.clients) < most, ROOM_WAIT)
+            return self.descriptor_freed.wait_for(lambda: len(self.clients) < limit, DESCRIPTOR_WAIT_S)
 
-    def hold(self, client: ClientConnection, size: int) -> None:
-        """What a client has of an unfinished frame; beyond the bound of all, whoever has most is closed."""
+    def set_unfinished(self, client: ClientConnection, size: int) -> None:
+        """Notes how many bytes of an unfinished frame a client has sent. If all together exceed the limit, the client with the most
+        is closed."""
         with self.lock:
-            self.bytes += size - client.held
-            client.held = size
-            most = max(self.clients, key=lambda c: c.held, default=None) if self.bytes > self.max_unfinished_bytes else None
-        if most is not None:
-            log.warning("frames_full", extra={"kv": {"bytes": self.bytes}})
-            self.closing_for(most, CloseReason.FRAME_MEMORY)
-            if most.client_writer.streams:
-                most.fail(CloseReason.FRAME_MEMORY.value)  # nothing further is read of it, and what it is owed still comes
+            self.unfinished_bytes += size - client.unfinished_bytes
+            client.unfinished_bytes = size
+            largest = (
+                max(self.clients, key=lambda c: c.unfinished_bytes, default=None)
+                if self.unfinished_bytes > self.max_unfinished_bytes
+                else None
+            )
+        if largest is not None:
+            log.warning("frames_full", extra={"kv": {"bytes": self.unfinished_bytes}})
+            self.note_close(largest, CloseReason.FRAME_MEMORY)
+            if largest.client_writer.streams:
+                largest.fail(CloseReason.FRAME_MEMORY.value)  # nothing further is read, and the owed answers are still sent
             else:
-                most.client_writer.cut_off()
+                largest.client_writer.cut_off()
 
-    def withdraw(self, ident: int, left: bool = False) -> None:
-        if self.open_txns.withdraw(ident, left):
+    def withdraw(self, ident: int, client_left: bool = False) -> None:
+        """Withdraws a txn and notifies the Router, unless the txn has ended already."""
+        if self.open_txns.withdraw(ident, client_left):
             self.route.post(self.route.withdrawn, ident)
 
     def connection_freed(self, client: ClientConnection) -> None:
+        """Removes a connection whose descriptor is free."""
         with self.lock:
             self.clients.discard(client)
-            self.room.notify()
+            self.descriptor_freed.notify()
 
-    def ended(self, client: ClientConnection) -> None:
+    def connection_ended(self, client: ClientConnection) -> None:
+        """Ends a connection and withdraws its open txns."""
         client.client_writer.reader_ended()
         for ident in list(client.client_writer.streams.values()):
-            self.withdraw(ident, left=True)
+            self.withdraw(ident, client_left=True)
 
     def announce_end(self) -> None:
-        """Not ready any more; open connections are told to bring nothing new. What comes is still served."""
+        """Stops being ready and tells all clients to send no new requests. Requests that still arrive are served."""
         with self.lock:
-            self.ready, self.over = False, True
+            self.ready, self.end_began = False, True
             clients = list(self.clients)
         for client in clients:
-            client.client_writer.write(frames.no_more())
+            client.client_writer.write(frames.encode_no_more_requests())
 
     def set_ready(self) -> bool:
-        """The router is ready from now on; false where its end has begun."""
+        """Makes the router ready. Returns False, and changes nothing, if the program has begun to end."""
         with self.lock:
-            self.ready = not self.over
+            self.ready = not self.end_began
             return self.ready
 
     def stop_listening(self) -> None:
-        """No connection is taken any more, but those are that the system has accepted already: once this is back, all are in the list."""
+        """Accepts no further connections, except those that the system has accepted already: on return all of them are in `clients`."""
         self.closing = True
         self.listening_socket.setblocking(False)
-        self.take_backlog(time.monotonic() + BACKLOG_WAIT)
+        self.accept_backlog(time.monotonic() + BACKLOG_WAIT_S)
         self.closed = True
         try:
-            self.listening_socket.shutdown(socket.SHUT_RDWR)  # a thread may wait in `accept`, and a close does not wake it
+            self.listening_socket.shutdown(socket.SHUT_RDWR)  # wakes a thread that waits in `accept`, which a close would not do
         except OSError:
             pass
-        if self.accepter is not None:
-            self.accepter.join(BACKLOG_WAIT)  # it may hold one that it has accepted
+        if self.accept_thread is not None:
+            self.accept_thread.join(BACKLOG_WAIT_S)  # it may have accepted a connection that is not in `clients` yet
         self.listening_socket.close()
 
-    def take_backlog(self, until: float) -> None:
-        """Accept all that the system has accepted. A failure for a moment leaves nobody there: each is owed an answer."""
+    def accept_backlog(self, until: float) -> None:
+        """Accepts all connections in the system's backlog. Each is owed an answer, so a failing accept is retried until `until`."""
         while True:
             try:
                 sock, _ = self.listening_socket.accept()
             except BlockingIOError:
                 return
-            except OSError as wrong:
-                log.error("accept", extra={"kv": {"why": str(wrong)}})
+            except OSError as error:
+                log.error("accept", extra={"kv": {"why": str(error)}})
                 if time.monotonic() >= until:
                     return
-                time.sleep(ACCEPT_PAUSE)
+                time.sleep(ACCEPT_RETRY_PAUSE_S)
             else:
                 self.add_connection(sock)
 
     def shut_connections(self, late: bool) -> bool:
-        """Shut each connection that owes nothing; whether all are, so that nothing can be taken any more. A client that has a request
-        on its way, unread or half, is left for later, unless it is `late`."""
+        """Shuts each connection that owes no answer. Returns whether all are shut, so that no further request can be admitted.
+
+        Unless `late`, a connection with an unread or unfinished request is left open for now."""
         with self.lock:
             clients = list(self.clients)
         for client in clients:
-            if late or not (client.held or client.has_unread_bytes() or client.in_hand()):
+            if late or not (client.unfinished_bytes or client.has_unread_bytes() or client.has_unprocessed_bytes()):
                 client.client_writer.close_when_done()
         return all(client.client_writer.shut_at for client in clients)
--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -1,4 +1,4 @@
-"""Clients' frames: bytes to typed values and back. No sockets here."""
+"""Frames of the client protocol: decodes received bytes to typed values and encodes answers. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,28 +8,44 @@
 from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.record import record
 
-REQUEST, ANSWER, WITHDRAW, READY_QUERY, READY_REPLY, NO_MORE_REQUESTS = 65, 66, 67, 80, 81, 90
-COMPLETED, REJECTED, ABORTED = 79, 66, 69
+# Frame types.
+REQUEST = 65
+ANSWER = 66
+WITHDRAW = 67
+READY_QUERY = 80
+READY_REPLY = 81
+NO_MORE_REQUESTS = 90
+
+# Result codes of answers and of replies to a ready query.
+COMPLETED = 79
+REJECTED = 66
+ABORTED = 69
 CODES = {"completed": COMPLETED, "rejected": REJECTED, "aborted": ABORTED}
-LEAST, MOST = 5, 262_144  # of a frame's length
-MOST_BODY = 48_000
-MOST_LIMIT, MOST_PART, MOST_GROUP = 2**31, 2**32, 255
-HEAD = struct.Struct(">IBI")
+
+MIN_LENGTH = 5  # smallest value of a frame's length field: type and stream alone
+MAX_LENGTH = 262_144
+MAX_BODY_BYTES = 48_000  # of a request
+MAX_LIMIT_MS = 2**31
+MAX_PART = 2**32
+MAX_GROUP = 255
+HEAD = struct.Struct(">IBI")  # length of what follows, type, stream
 HEX = re.compile(r"[0-9a-fA-F]{16}")
 NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?")
-VALUE = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,200}")  # what passes on inside a list joined by commas
+VALUE = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,200}")  # no comma: the value is passed on to servers in a comma-separated list
 
 
 class BadFrame(Exception):
-    """The connection can't be read any further."""
+    """The frames of a connection are malformed, so that nothing after them can be decoded."""
 
 
 class BadField(Exception):
-    """One request can't be used."""
+    """A field of one request is missing or invalid; the rest of the connection can be read."""
 
 
-@record()  # not frozen: that costs more than the reading
+@record()  # not frozen: creating a frozen record takes longer than decoding the request
 class Request:
+    """A request that a client sent, with its fields checked."""
+
     stream: int
     rule: str
     txn: str
@@ -39,86 +55,96 @@
     part: int
     group: int
     kb: float
-    tag: str | None  # of the copy that the client holds
+    tag: str | None  # tag of the copy that the client holds
     body: bytes
 
 
 @record(frozen=True)
 class UnusableRequest:
+    """A request with a missing or invalid field, named in `why`."""
+
     stream: int
     why: str
 
 
 @record(frozen=True)
 class Withdrawal:
+    """The client no longer waits for the answer on this stream."""
+
     stream: int
 
 
 @record(frozen=True)
 class ReadyQuery:
+    """The client asks whether the router is ready."""
+
     stream: int
 
 
-def fields_of(data: bytes) -> tuple[dict[str, str], int]:
-    """The fields at the start of a payload, and where they end."""
-    found, at = {}, 1
+def decode_fields(data: bytes) -> tuple[dict[str, str], int]:
+    """Returns the fields at the start of a request's payload, and the offset at which they end."""
+    fields, offset = {}, 1
     try:
         for _ in range(data[0]):
-            end = at + 1 + data[at]
-            name = data[at + 1 : end].decode()
-            size = int.from_bytes(data[end : end + 2], "big")
-            at = end + 2 + size
-            if at > len(data):
+            name_end = offset + 1 + data[offset]
+            name = data[offset + 1 : name_end].decode()
+            size = int.from_bytes(data[name_end : name_end + 2], "big")
+            offset = name_end + 2 + size
+            if offset > len(data):
                 raise BadField("fields: cut short")
-            found[name] = data[end + 2 : at].decode()
+            fields[name] = data[name_end + 2 : offset].decode()
     except (IndexError, UnicodeDecodeError):
         raise BadField("fields: unreadable") from None
-    return found, at
+    return fields, offset
 
 
-def need(fields: dict[str, str], name: str, form: re.Pattern) -> str:
+def required_text(fields: dict[str, str], name: str, pattern: re.Pattern) -> str:
+    """Returns the field's value; raises BadField if it is missing or does not match `pattern`."""
     value = fields.get(name)
-    if value is None or not form.fullmatch(value):
+    if value is None or not pattern.fullmatch(value):
         raise BadField(f"{name}: {'missing' if value is None else 'unreadable'}")
     return value
 
 
-def whole(fields: dict[str, str], name: str, most: int, default: str | None = None) -> int:
+def integer_field(fields: dict[str, str], name: str, maximum: int, default: str | None = None) -> int:
+    """Returns the field's value as a number from 0 to `maximum`; raises BadField if it is missing or invalid."""
     text = fields.get(name, default)
-    if text is None or not (text.isascii() and text.isdigit()) or len(text) > 12 or int(text) > most:
+    if text is None or not (text.isascii() and text.isdigit()) or len(text) > 12 or int(text) > maximum:
         raise BadField(f"{name}: {'missing' if text is None else 'unreadable'}")
     return int(text)
 
 
-def request(stream: int, payload: bytes) -> Request | UnusableRequest:
+def decode_request(stream: int, payload: bytes) -> Request | UnusableRequest:
+    """Decodes a request field by field, whatever the order of its fields."""
     try:
-        fields, at = fields_of(payload)
-        if len(payload) - at > MOST_BODY:
+        fields, body_start = decode_fields(payload)
+        if len(payload) - body_start > MAX_BODY_BYTES:
             raise BadField("body: too long")
-        kb = float(need(fields, "ram", NUMBER)) if "ram" in fields else 0.0
+        kb = float(required_text(fields, "ram", NUMBER)) if "ram" in fields else 0.0
         return Request(
             stream,
-            need(fields, "verb", VALUE),
-            need(fields, "txn", HEX),
-            whole(fields, "limit", MOST_LIMIT) * 1_000_000,
-            need(fields, "unique", VALUE) if "unique" in fields else None,
-            need(fields, "item", HEX),
-            whole(fields, "slice", MOST_PART, "0"),
-            whole(fields, "set", MOST_GROUP),
+            required_text(fields, "verb", VALUE),
+            required_text(fields, "txn", HEX),
+            integer_field(fields, "limit", MAX_LIMIT_MS) * 1_000_000,
+            required_text(fields, "unique", VALUE) if "unique" in fields else None,
+            required_text(fields, "item", HEX),
+            integer_field(fields, "slice", MAX_PART, "0"),
+            integer_field(fields, "set", MAX_GROUP),
             kb,
-            need(fields, "seen", VALUE) if fields.get("seen") else None,
-            payload[at:],
+            required_text(fields, "seen", VALUE) if fields.get("seen") else None,
+            payload[body_start:],
         )
     except BadField as bad:
         return UnusableRequest(stream, str(bad))
 
 
-FIRST = 4096  # of a connection's buffer
+INITIAL_BUFFER_BYTES = 4096  # of each connection
 
 
-# The fields in the order in which the protocol lists them, as nearly all clients send them. A value holds no byte below
-# 0x21 and names are shorter than that, so none runs into the next; what does not match is read field by field.
-USUAL = re.compile(
+# Matches the fields in the order in which the protocol lists them, which is how nearly all clients send them. A value has
+# no byte below 0x21 and every name is shorter than 0x21 bytes, so a value cannot run into the length byte of the next name.
+# Payloads that do not match are decoded field by field.
+USUAL_FIELDS = re.compile(
     rb"(?s)(.)\x04verb\0(.)([\x21-\x2b\x2d-\x7e]{1,200})\x03txn\0\x10([0-9a-fA-F]{16})\x05limit\0(.)([0-9]{1,12})"
     rb"(?:\x06unique\0(.)([\x21-\x2b\x2d-\x7e]{1,200}))?\x04item\0\x10([0-9a-fA-F]{16})"
     rb"(?:\x05slice\0(.)([0-9]{1,12}))?\x03set\0(.)([0-9]{1,12})"
@@ -126,13 +152,13 @@
 )
 
 
-def usual(stream: int, buf: bytearray, at: int, end: int) -> Request | None:
-    """The request in `buf[at:end]` if it is of the usual form in every respect."""
-    found = USUAL.match(buf, at, end)
-    if found is None or end - found.end() > MOST_BODY:
+def decode_usual_request(stream: int, buf: bytearray, start: int, end: int) -> Request | None:
+    """Returns the request in `buf[start:end]`, or None unless its fields are in the usual order and all valid."""
+    match = USUAL_FIELDS.match(buf, start, end)
+    if match is None or end - match.end() > MAX_BODY_BYTES:
         return None
     (count, verb_size, verb, txn, limit_size, limit, key_size, key, obj, part_size, part, group_size, group, kb_size, kb, tag_size, tag) = (
-        found.groups()
+        match.groups()
     )
     if (
         count[0] != 5 + (key is not None) + (part is not None) + (kb is not None) + (tag is not None)
@@ -149,94 +175,98 @@
         and tag_size[0] != len(tag)
     ):
         return None
-    wait, piece, family = int(limit), int(part or 0), int(group)
-    if wait > MOST_LIMIT or piece > MOST_PART or family > MOST_GROUP:
+    limit_ms, part_number, group_number = int(limit), int(part or 0), int(group)
+    if limit_ms > MAX_LIMIT_MS or part_number > MAX_PART or group_number > MAX_GROUP:
         return None
     return Request(
         stream,
         verb.decode(),
         txn.decode(),
-        wait * 1_000_000,
+        limit_ms * 1_000_000,
         key.decode() if key else None,
         obj.decode(),
-        piece,
-        family,
+        part_number,
+        group_number,
         float(kb) if kb else 0.0,
         tag.decode() if tag else None,
-        bytes(buf[found.end() : end]),
+        bytes(buf[match.end() : end]),
     )
 
 
 class Decoder:
-    """Cuts what clients send into values, across any split of reads."""
+    """Decodes the frames that one client sends, however they are split across reads."""
 
     def __init__(self):
-        self.window = ReceiveBuffer(FIRST, trust_length=False)
+        self.receive_buffer = ReceiveBuffer(INITIAL_BUFFER_BYTES, trust_length=False)
 
     def feed(self, data: bytes):
-        """Yields values; raises BadFrame where nothing more can be read."""
-        for size in self.window.feed(data):
-            yield from self.filled(size)
-
-    def filled(self, size: int):
-        """So many bytes came into the window's room."""
-        window = self.window
-        window.end += size
-        while window.end - window.start >= HEAD.size:
-            at = window.start
-            length, kind, stream = HEAD.unpack_from(window.buf, at)
-            if not LEAST <= length <= MOST:
+        """Yields the values that `data` completes; raises BadFrame where the frames are malformed."""
+        for size in self.receive_buffer.feed(data):
+            yield from self.decode_received(size)
+
+    def decode_received(self, size: int):
+        """Yields the values that are complete after `size` bytes were read into the free space of the receive buffer."""
+        receive_buffer = self.receive_buffer
+        receive_buffer.end += size
+        while receive_buffer.end - receive_buffer.start >= HEAD.size:
+            start = receive_buffer.start
+            length, kind, stream = HEAD.unpack_from(receive_buffer.buf, start)
+            if not MIN_LENGTH <= length <= MAX_LENGTH:
                 raise BadFrame("length out of bounds")
             if kind not in (REQUEST, WITHDRAW, READY_QUERY):
                 raise BadFrame("type not for a router")
-            if window.end - at < 4 + length:
-                window.message_size = 4 + length
+            if receive_buffer.end - start < 4 + length:
+                receive_buffer.message_size = 4 + length
                 return
-            window.start, window.message_size = at + 4 + length, 0
+            receive_buffer.start, receive_buffer.message_size = start + 4 + length, 0
             if kind == REQUEST:
-                found = usual(stream, window.buf, at + HEAD.size, at + 4 + length)
-                yield found or request(stream, bytes(window.view[at + HEAD.size : at + 4 + length]))
+                request = decode_usual_request(stream, receive_buffer.buf, start + HEAD.size, start + 4 + length)
+                yield request or decode_request(stream, bytes(receive_buffer.view[start + HEAD.size : start + 4 + length]))
             else:
                 yield Withdrawal(stream) if kind == WITHDRAW else ReadyQuery(stream)
 
 
-JOINED = 8192  # a body up to here is copied behind its head: one buffer to write costs less than two
+MAX_JOINED_BODY_BYTES = 8192  # up to this size a body is copied behind its head, as writing one buffer costs less than two
 
 
 def encode(kind: int, stream: int, code: int | None = None, fields: dict[str, str] | None = None, body=b"") -> tuple:
-    """One frame, as buffers in their order: one, or a head and a long body as it is."""
+    """Encodes one frame, as buffers to write in order: a single buffer, or the head and a long body that is not copied."""
     parts = []
     if code is not None:
         parts.append(bytes((code, len(fields or ()))))
         for name, value in (fields or {}).items():
-            word, text = name.encode(), value.encode()
-            parts += (bytes((len(word),)), word, len(text).to_bytes(2, "big"), text)
+            encoded_name, encoded_value = name.encode(), value.encode()
+            parts += (bytes((len(encoded_name),)), encoded_name, len(encoded_value).to_bytes(2, "big"), encoded_value)
     head = b"".join((HEAD.pack(5 + sum(map(len, parts)) + len(body), kind, stream), *parts))
-    return (head + body,) if len(body) <= JOINED else (head, body)
+    return (head + body,) if len(body) <= MAX_JOINED_BODY_BYTES else (head, body)
 
 
-PLAIN = struct.Struct(">IBIBB")  # the head of an answer without fields
+HEAD_WITHOUT_FIELDS = struct.Struct(">IBIBB")  # of an answer: length, type, stream, result code, number of fields
 
 
-def answer(stream: int, word: str, retry_after_ms: int = 0, unchanged: bool = False, body=b"") -> tuple:
+def encode_answer(stream: int, outcome: str, retry_after_ms: int = 0, unchanged: bool = False, body=b"") -> tuple:
+    """Encodes an answer, as buffers to write in order; most answers have no fields and take the short way."""
     if not retry_after_ms and not unchanged:
-        head = PLAIN.pack(7 + len(body), ANSWER, stream, CODES[word], 0)
-        return (head + body,) if len(body) <= JOINED else (head, body)
+        head = HEAD_WITHOUT_FIELDS.pack(7 + len(body), ANSWER, stream, CODES[outcome], 0)
+        return (head + body,) if len(body) <= MAX_JOINED_BODY_BYTES else (head, body)
     fields = {}
     if retry_after_ms:
         fields["later"] = str(retry_after_ms)
     if unchanged:
         fields["current"] = "1"
-    return encode(ANSWER, stream, CODES[word], fields, body)
+    return encode(ANSWER, stream, CODES[outcome], fields, body)
 
 
-def ready(stream: int, yes: bool) -> tuple:
-    return encode(READY_REPLY, stream, COMPLETED if yes else REJECTED)
+def encode_ready_reply(stream: int, is_ready: bool) -> tuple:
+    """Encodes the reply to a ready query."""
+    return encode(READY_REPLY, stream, COMPLETED if is_ready else REJECTED)
 
 
-def unreadable() -> tuple:
+def encode_unreadable() -> tuple:
+    """Encodes the error for a connection that cannot be read any further. It belongs to no request: its stream is 0."""
     return encode(ANSWER, 0, ABORTED)
 
 
-def no_more() -> tuple:
+def encode_no_more_requests() -> tuple:
+    """Encodes the notice that this router ends and the client is to send it no further requests."""
     return encode(NO_MORE_REQUESTS, 0)
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -1,4 +1,4 @@
-"""The book: every txn taken is open, or has had its one final answer, or was withdrawn."""
+"""The open txns. Each txn that was added is open until it gets its one final answer or is withdrawn."""
 
 from __future__ import annotations
 
@@ -8,71 +8,75 @@
 from fieldspur.net.invariants import check_invariant
 from fieldspur.record import record
 
-MOST_NAMES = 4096
+MAX_RECENT_NAMES = 4096
 
 
 @record()
 class Answer:
+    """The final answer to a txn."""
+
     outcome: str  # "completed", "rejected" or "aborted"
     retry_after_ms: int = 0
-    unchanged: bool = False  # the client's own copy is the one
+    unchanged: bool = False  # the copy that the client holds is still current
     body: memoryview | bytes = b""
 
 
 @record(eq=False)
 class Txn:
-    ident: int
-    name: str  # the client's id of it
+    """A client's request that was admitted, with the connection and the stream that its answer goes to."""
+
+    ident: int  # this router's own number of the txn
+    name: str  # the client's id of the txn
     rule_index: int
     rule: str
     obj: str
     part: int
     group: int
     kb: float
-    key: str | None
-    tag: str | None
+    key: str | None  # idempotency key of a keyed txn
+    tag: str | None  # tag of the copy that the client holds
     body: bytes
     taken_at: int
-    limit_at: int
-    client_writer: object  # where its answer goes
+    limit_at: int  # when its time limit ends
+    client_writer: object  # the ClientWriter of the connection that its answer goes to
     stream: int
     hop_count: int = 0
 
 
 class OpenTxns:
-    """Open txns and counts. Taking a txn out of `open` is what gives the right to answer it."""
+    """Open txns by number, and counts of how txns end. A thread may answer a txn only if it has removed the txn from `by_id`."""
 
     def __init__(self):
         self.by_id: dict[int, Txn] = {}
-        self.idents = itertools.count(1)
+        self.txn_numbers = itertools.count(1)
         self.lock = threading.Lock()
-        self.names: set[str] = set()  # clients' ids of txns; each is to be new
-        self.older: set[str] = set()  # those before, forgotten together: taking the oldest out one by one costs more
-        self.bytes = 0  # of open txns' bodies
+        self.recent_names: set[str] = set()  # clients' ids of txns; a client may use each id only once
+        self.older_names: set[str] = set()  # the full set before `recent_names`; dropping a whole set is cheaper than evicting ids singly
+        self.body_bytes = 0  # total size of the bodies of open txns
         self.counts = dict.fromkeys(("taken", "completed", "rejected", "aborted", "withdrawn", "unusable", "full", "late", "held_back"), 0)
 
-    def count(self, what: str, size: int = 0) -> None:
+    def count(self, event: str, body_bytes_change: int = 0) -> None:
         with self.lock:
-            self.counts[what] += 1
-            self.bytes += size
+            self.counts[event] += 1
+            self.body_bytes += body_bytes_change
 
     def add(self, txn: Txn) -> None:
         if txn.ident in self.by_id:
             check_invariant(False, "a new number for each txn", txn=txn.ident)
         self.by_id[txn.ident] = txn
         with self.lock:
-            self.names.add(txn.name)
-            if len(self.names) > MOST_NAMES:
-                self.older, self.names = self.names, set()
+            self.recent_names.add(txn.name)
+            if len(self.recent_names) > MAX_RECENT_NAMES:
+                self.older_names, self.recent_names = self.recent_names, set()
             self.counts["taken"] += 1
-            self.bytes += len(txn.body)
+            self.body_bytes += len(txn.body)
 
-    def known(self, name: str) -> bool:
-        """Whether it is one of the last MOST_NAMES ids, or of up to as many before."""
-        return name in self.names or name in self.older
+    def is_known_name(self, name: str) -> bool:
+        """Whether a recent txn had this id: one of the last MAX_RECENT_NAMES ids, or of up to as many before those."""
+        return name in self.recent_names or name in self.older_names
 
     def settle(self, ident: int, answer: Answer) -> Txn | None:
-        """The txn, for whoever is to give it its one final answer; None where it has had its end already."""
+        """Removes the txn and returns it to the caller, who must send it `answer`. None if the txn has been answered or withdrawn."""
         txn = self.by_id.pop(ident, None)
         if txn is None:
             self.count("late")
@@ -81,12 +85,14 @@
         return txn
 
     def withdraw(self, ident: int, client_left: bool = False) -> bool:
-        """The client waits no more, and no answer is owed. With `left` its connection ended: it may come again."""
+        """Removes a txn that its client no longer waits for; it gets no answer. Returns False if the txn was not open any more.
+
+        With `client_left` the client's connection has ended: the client may send the same id again on another connection."""
         txn = self.by_id.pop(ident, None)
         if txn is not None:
             self.count("withdrawn", -len(txn.body))
             if client_left:
                 with self.lock:
-                    self.names.discard(txn.name)
-                    self.older.discard(txn.name)
+                    self.recent_names.discard(txn.name)
+                    self.older_names.discard(txn.name)
         return txn is not None
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -12,7 +12,7 @@
 
 from fieldspur.decide import MS
 from fieldspur.net import arrival_times
-from fieldspur.net.arrival_times import READS_BETWEEN_LOOKS, ArrivalTimes, core_wait
+from fieldspur.net.arrival_times import READS_PER_CORE_WAIT_CHECK, ArrivalTimes, core_wait
 from fieldspur.net.client_writer import TICK_LATE, AnswerSender
 
 
@@ -92,14 +92,14 @@
 
 def test_many_short_waits_of_a_thread_are_not_taken_for_one_long_one(reader):
     arrivals, answer_sender, seen = reader
-    for n in range(10 * READS_BETWEEN_LOOKS):
+    for n in range(10 * READS_PER_CORE_WAIT_CHECK):
         answer_sender.tick((12_000 + n) * MS)
         seen.waited += MS // 10
         arrivals.read((12_000 + n) * MS, False)
         arrivals.all_processed(unfinished=False)
-    answer_sender.ticked = arrivals.read_at + 1000 * MS
-    arrivals.read(answer_sender.ticked, False)
-    assert arrivals.read_at - arrivals.of_request(followed=True) <= READS_BETWEEN_LOOKS * MS // 10
+    answer_sender.last_tick = arrivals.read_at + 1000 * MS
+    arrivals.read(answer_sender.last_tick, False)
+    assert arrivals.read_at - arrivals.of_request(followed=True) <= READS_PER_CORE_WAIT_CHECK * MS // 10
     assert seen.looks <= 12
 
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -57,7 +57,7 @@
     assert [(v.txn, v.part, v.body, v.limit, v.kb, v.group) for v in values[::2]] == [
         (txn, part, body, 1_500_000_000, 412.5, 17) for txn, part, body in rows
     ]
-    assert values[1::2] == [frames.Withdrawal(n + 1) for n in range(len(rows))] and not len(decoder.window)
+    assert values[1::2] == [frames.Withdrawal(n + 1) for n in range(len(rows))] and not len(decoder.receive_buffer)
 
 
 @tries(deadline=None, derandomize=True)
@@ -192,14 +192,14 @@
     payload = bytes([len(fields)]) + b"".join(
         bytes([len(k)]) + k.encode() + len(v).to_bytes(2, "big") + v.encode() for k, v in fields.items()
     )
-    value = frames.request(1, payload)
+    value = frames.decode_request(1, payload)
     assert isinstance(value, frames.UnusableRequest) and value.why.startswith(name)
 
 
 def test_streams_are_new_only_once_in_any_order():
     used = UsedStreams()
-    assert [used.new(n) for n in (1, 3, 2, 3, 1, 4, 0)] == [True, True, True, False, False, True, False]
-    assert used.low == 4 and not used.above
+    assert [used.use(n) for n in (1, 3, 2, 3, 1, 4, 0)] == [True, True, True, False, False, True, False]
+    assert used.all_used_to == 4 and not used.used_above
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -200,7 +200,7 @@
     looker.start()
     assert looking.wait(10)
     there.sock.sendall(b"\0\0\0")  # half a frame: nothing in it waits for the look's lock
-    until(lambda: client.held)
+    until(lambda: client.unfinished_bytes)
     go_on.set()
     looker.join()
     client_listener.listening_socket.close()
@@ -215,11 +215,11 @@
     class Found:
         def poll(self, wait):
             there.sock.sendall(b"\0\0\0")  # half a frame: nothing in it waits for the look's lock
-            until(lambda: client.held)
+            until(lambda: client.unfinished_bytes)
             time.sleep(0.1)  # longer than a reader takes back to its wait; what holds does not lean on it
             return [(client.sock.fileno(), select.POLLIN)]
 
-    monkeypatch.setattr(client.client_writer, "looks", Found())
+    monkeypatch.setattr(client.client_writer, "poller", Found())
     hop = SimpleNamespace(waited=False, lane=SimpleNamespace(again=again.append))
     assert client.client_writer.check_client(hop) == UNREAD_BYTES
     until(lambda: again == [hop], limit=2)
@@ -414,7 +414,9 @@
     for _ in range(60):
         idle.append(joins(client_listener))
         most = max(most, len(client_listener.clients))
-        assert most <= 8 + client_listener.spare and all(sock.fileno() < 0 for sock in seen - {c.sock for c in client_listener.clients})
+        assert most <= 8 + client_listener.spare_descriptors and all(
+            sock.fileno() < 0 for sock in seen - {c.sock for c in client_listener.clients}
+        )
         seen |= {client.sock for client in client_listener.clients}
     assert most > 8 and sum(client.sock.fileno() >= 0 for client in idle) == 60
     client_listener.listening_socket.close()
@@ -437,7 +439,7 @@
     """The reader's end comes between the writer's last look, when nothing waited and nothing had ended, and its return."""
     here, there = pair()
     client_writer, freed = ClientWriter(here, encode, AnswerSender(1 << 20)), []
-    client_writer.freed = lambda: freed.append(here.fileno())
+    client_writer.on_descriptor_freed = lambda: freed.append(here.fileno())
 
     class Lock:
         def __init__(self):
@@ -448,11 +450,11 @@
 
         def __exit__(self, *about):
             self.real.release()
-            if not client_writer.writing and not client_writer.ended:
+            if not client_writer.draining and not client_writer.ended:
                 client_writer.reader_ended()
 
-    client_writer.waiting.append(b"x")
-    client_writer.writing, client_writer.lock = True, Lock()
+    client_writer.write_queue.append(b"x")
+    client_writer.draining, client_writer.lock = True, Lock()
     client_writer.drain()
     assert freed == [-1] and there.recv(9) == b"x"
     there.close()
@@ -515,7 +517,7 @@
     there = joins(client_listener)
     client = next(iter(client_listener.clients))
     there.sock.sendall(b"\0\0\0\5")
-    until(lambda: client.held)
+    until(lambda: client.unfinished_bytes)
     assert not client_listener.shut_connections(late=False) and not client.client_writer.shut_at
     assert client_listener.shut_connections(late=True) and client.client_writer.shut_at and there.get() is None
     client_listener.listening_socket.close()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -101,9 +101,9 @@
         + b"".join(bytes([len(k)]) + k.encode() + len(v).to_bytes(2, "big") + v.encode() for k, v in rows)
         + body
     )
-    quick = frames.usual(5, bytearray(payload), 0, len(payload))
+    quick = frames.decode_usual_request(5, bytearray(payload), 0, len(payload))
     if quick is not None:
-        assert quick == frames.request(5, payload)
+        assert quick == frames.decode_request(5, payload)
     assert quick is not None or not ordered
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -446,12 +446,12 @@
 def test_a_connection_used_as_it_should_be_is_kept_for_longer_than_one_that_is_not():
     here, _there = socket.socketpair()
     client = ClientConnection(SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000), here)
-    begun = client.since
-    assert not client.overdue(begun + 1.9) and client.overdue(begun + 2.1) == "idle"
-    client.proved = True
-    assert not client.overdue(begun + 4.5) and client.overdue(begun + 5.1) == "idle"
+    begun = client.state_since
+    assert not client.reason_to_close(begun + 1.9) and client.reason_to_close(begun + 2.1) == "idle"
+    client.sent_usable_request = True
+    assert not client.reason_to_close(begun + 4.5) and client.reason_to_close(begun + 5.1) == "idle"
     client.client_writer.open_stream(1, 7)
-    assert not client.overdue(begun + 60) and not client.client_writer.shut_if_idle()
+    assert not client.reason_to_close(begun + 60) and not client.client_writer.shut_if_idle()
     client.client_writer.streams.clear()
     assert client.client_writer.shut_if_idle() and not client.client_writer.open_stream(2, 8) and not client.client_writer.streams
 
@@ -609,9 +609,9 @@
     open_txns = OpenTxns()
     txn = Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"body", 0, 0, None, 1)
     open_txns.add(txn)
-    assert open_txns.bytes == 4
+    assert open_txns.body_bytes == 4
     assert open_txns.settle(5, Answer("completed")) is txn and open_txns.settle(5, Answer("aborted")) is None
-    assert not open_txns.withdraw(5) and open_txns.counts["late"] == 1 and open_txns.counts["completed"] == 1 and not open_txns.bytes
+    assert not open_txns.withdraw(5) and open_txns.counts["late"] == 1 and open_txns.counts["completed"] == 1 and not open_txns.body_bytes
 
 
 def test_a_change_of_the_list_may_hold_only_what_has_changed():
@@ -717,10 +717,10 @@
     here, there = socket.socketpair()
     client = ClientConnection(client_listener, here)
     client_listener.clients.add(client)
-    client.proved, later = True, time.monotonic() + 60
+    client.sent_usable_request, later = True, time.monotonic() + 60
     there.sendall(b"\0")
     client_listener.sweep(later)
-    assert not client.client_writer.shut_at and not client_listener.make_room()
+    assert not client.client_writer.shut_at and not client_listener.free_descriptor()
     here.recv(1)  # its reader has had its turn
     client_listener.sweep(later)
     assert client.client_writer.shut_at
