--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -1,5 +1,7 @@
-"""An operator's desk: what members publish is read, and wishes go into the operators' file of a router on this machine, which is then
-told to read it again. The file stays the one place where something is asked for."""
+"""Operators' access to a fleet, for the command line.
+
+It reads what members publish, and writes work requests into the operators' file of a router on this machine, which then gets a signal
+to read the file again. Requests are stored nowhere else."""
 
 from __future__ import annotations
 
@@ -18,45 +20,46 @@
 from fieldspur.fleet.work_requests import request_ident
 from fieldspur.operators import BadFile, Fleet, member, parse
 
-ANSWER = 2.0  # s for a member to be reached and to say its line
-LOOK = 0.1  # s between two looks at a member's line
-MOST_LINE = 4 << 20
+ANSWER_TIMEOUT_S = 2.0  # for a member to accept a connection and to send its line
+POLL_INTERVAL_S = 0.1  # between two readings of the members' lines
+MAX_LINE_BYTES = 4 << 20
 
 
 class Refused(Exception):
-    """What was asked for is not to be had; the text says why."""
+    """A command can't be carried out; the text says why."""
 
 
-class Told(NamedTuple):
-    """What one member publishes. One that follows has no voice: `life` 0, no ballot, and a document only by number."""
+class MemberStatus(NamedTuple):
+    """What one member publishes. A follower does not vote: its `life` is 0, it has no ballot, and it names its document only by number
+    (`report.applied_number`)."""
 
     name: str
     zone: str
     votes: bool
     life: int
     ballot: tuple
-    ticks: bool  # it asks to act, and others keep the promise as far as it says
+    requests_lease: bool  # it wants to be coordinator, and publishes a tick under its own ballot
     work: work_orders.WorkDocument
     report: Report | None
 
 
-def fetch_line(address: tuple[str, int], wait: float = ANSWER) -> dict | None:
-    """The line that a member publishes now; None where it can't be reached or says none in time."""
+def fetch_line(address: tuple[str, int], wait: float = ANSWER_TIMEOUT_S) -> dict | None:
+    """The line that a member publishes now; None where it can't be reached or sends no line in time."""
     try:
         with socket.create_connection(address, timeout=wait) as sock:
             sock.sendall(b"watch 0\n")
             with sock.makefile("rb") as file:
-                found = json.loads(file.readline(MOST_LINE) or b"null")
+                line = json.loads(file.readline(MAX_LINE_BYTES) or b"null")
     except (OSError, ValueError, RecursionError):
         return None
-    return found if isinstance(found, dict) and ("register" in found or "follower" in found) else None
+    return line if isinstance(line, dict) and ("register" in line or "follower" in line) else None
 
 
-def told(name: str, zone: str, line: dict, settle: int) -> Told:
-    """From a member's line; raises BadLine or BadOrder where it is of another fleet or version."""
-    raw = line.get("work")
+def parse_status(name: str, zone: str, line: dict, voters: int) -> MemberStatus:
+    """Reads a member's line; raises BadLine or BadOrder where it is of another fleet or version."""
+    raw_report = line.get("work")
     if "follower" in line:
-        return Told(
+        return MemberStatus(
             name,
             zone,
             False,
@@ -64,10 +67,10 @@
             consensus.NO_BALLOT,
             False,
             work_orders.EMPTY_DOCUMENT,
-            parse_report(raw, register_codec.whole_number(line.get("nonce"), "nonce")),
+            parse_report(raw_report, register_codec.whole_number(line.get("nonce"), "nonce")),
         )
-    register = register_codec.decode_register(line["register"], settle)
-    return Told(
+    register = register_codec.decode_register(line["register"], voters)
+    return MemberStatus(
         name,
         zone,
         True,
@@ -75,50 +78,52 @@
         register.promised,
         line.get("tick", [[0, -1]])[0] == list(register.promised),
         work_orders.read_document(register.decided.value),
-        parse_report(raw, register.nonce) if raw is not None else None,
+        parse_report(raw_report, register.nonce) if raw_report is not None else None,
     )
 
 
-def read_members(fleet: Fleet) -> dict[str, Told | str]:
-    """By name what each member of the file says, or why nothing is known of it."""
-    found: dict[str, Told | str] = {}
+def read_members(fleet: Fleet) -> dict[str, MemberStatus | str]:
+    """The status of each member in the operators' file, or why it is unknown, by name."""
+    statuses: dict[str, MemberStatus | str] = {}
     for name in sorted(fleet.members):
         address, zone = member(fleet.members[name])
         line = fetch_line(address)
         if line is None:
-            found[name] = "can't be reached"
+            statuses[name] = "can't be reached"
         elif line.get("fleet") != fleet.name:
-            found[name] = f"of another fleet: {line.get('fleet')}"
+            statuses[name] = f"of another fleet: {line.get('fleet')}"
         else:
             try:
-                found[name] = told(name, zone, line, len(fleet.votes or fleet.members))
+                statuses[name] = parse_status(name, zone, line, len(fleet.votes or fleet.members))
             except (register_codec.BadLine, work_orders.BadOrder) as bad:
-                found[name] = f"of another version: {bad}"
-    return found
+                statuses[name] = f"of another version: {bad}"
+    return statuses
 
 
-def latest_document(found: dict[str, Told | str]) -> work_orders.WorkDocument:
+def latest_document(statuses: dict[str, MemberStatus | str]) -> work_orders.WorkDocument:
     return max(
-        (one.work for one in found.values() if isinstance(one, Told)), key=lambda one: one.number, default=work_orders.EMPTY_DOCUMENT
+        (status.work for status in statuses.values() if isinstance(status, MemberStatus)),
+        key=lambda document: document.number,
+        default=work_orders.EMPTY_DOCUMENT,
     )
 
 
-def find_coordinator(found: dict[str, Told | str], fleet: Fleet) -> str | None:
-    """The member whose ballot a majority keeps, by what they publish."""
+def find_coordinator(statuses: dict[str, MemberStatus | str], fleet: Fleet) -> str | None:
+    """The member whose ballot a majority has promised to follow, by what the members publish."""
     names = sorted(fleet.votes or fleet.members)
-    ballots = [one.ballot for one in found.values() if isinstance(one, Told) and one.life]
+    ballots = [status.ballot for status in statuses.values() if isinstance(status, MemberStatus) and status.life]
     for ballot in set(ballots):
         if ballot[1] >= 0 and ballots.count(ballot) > len(names) // 2:
-            holder = found[names[ballot[1]]]
-            return holder.name if isinstance(holder, Told) and holder.ticks else None
+            holder = statuses[names[ballot[1]]]
+            return holder.name if isinstance(holder, MemberStatus) and holder.requests_lease else None
     return None
 
 
-# The file.
+# The operators' file.
 
 
 def read_operators_file(path: Path) -> tuple[dict, Fleet]:
-    """The file as it stands, and its checked fleet; raises BadFile."""
+    """The file's content as it stands, and its checked fleet; raises BadFile."""
     try:
         data = path.read_bytes()
     except OSError as wrong:
@@ -129,136 +134,139 @@
     return json.loads(data), fleet
 
 
-def change_operators_file(path: Path, what, key: str = "work") -> Any:
-    """Applies `what(rows)` to the file's orders, or another list of its fleet, and writes the whole anew, so that a reader finds the
-    old or the new one. Two at once take turns. Raises BadFile, and then nothing is changed; what `what` gives back."""
+def change_operators_file(path: Path, change_rows, key: str = "work") -> Any:
+    """Applies `change_rows(rows)` to the file's work requests, or to another list of its fleet, and returns its result.
+
+    The file is replaced as a whole, so that a reader finds either the old or the new one. A lock makes two changes at the same time
+    take turns. Raises BadFile, and then nothing is changed."""
     with open(path.with_name(path.name + ".lock"), "w") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
-        value, _ = read_operators_file(path)
-        rows = value["fleet"].setdefault(key, [])
-        given = what(rows)
-        data = (json.dumps(value, indent=2) + "\n").encode()
+        content, _ = read_operators_file(path)
+        rows = content["fleet"].setdefault(key, [])
+        result = change_rows(rows)
+        data = (json.dumps(content, indent=2) + "\n").encode()
         parse(data)
-        fresh = path.with_name(f"{path.name}.{os.getpid()}")
+        new_path = path.with_name(f"{path.name}.{os.getpid()}")
         try:
-            with open(fresh, "wb") as file:
+            with open(new_path, "wb") as file:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
-            os.chmod(fresh, path.stat().st_mode & 0o777)
-            os.replace(fresh, path)
+            os.chmod(new_path, path.stat().st_mode & 0o777)
+            os.replace(new_path, path)
         finally:
-            fresh.unlink(missing_ok=True)
-        return given
+            new_path.unlink(missing_ok=True)
+        return result
 
 
-def name_of(row: dict) -> str:
+def ident_of(row: dict) -> str:
     return row.get("id") or request_ident(row)
 
 
 def add_request(path: Path, document: work_orders.WorkDocument, machine: str, needs: float, before: float = 0.0, beside: tuple = ()) -> str:
-    """A new order, under a name of its own, so that a machine may be worked on again later. Those that have ended by the document
-    leave the file."""
-    over = {one.ident for one in document.ended}
+    """Adds a work request under a new identifier, so that the same machine can be requested again later. Removes requests from the
+    file whose orders have ended by the document."""
+    ended_idents = {ended.ident for ended in document.ended}
 
-    def what(rows: list) -> str:
-        rows[:] = [row for row in rows if name_of(row) not in over]
-        made = f"{machine[:40]}-{secrets.token_hex(4)}"
+    def change_rows(rows: list) -> str:
+        rows[:] = [row for row in rows if ident_of(row) not in ended_idents]
+        new_ident = f"{machine[:40]}-{secrets.token_hex(4)}"
         rows.append(
             {
-                "id": made,
+                "id": new_ident,
                 "machine": machine,
                 "needs_s": needs,
                 **({"before": before} if before else {}),
                 **({"with": list(beside)} if beside else {}),
             }
         )
-        return made
+        return new_ident
 
-    return change_operators_file(path, what)
+    return change_operators_file(path, change_rows)
 
 
-def mark(path: Path, order: work_orders.Order, key: str, yes: bool = True) -> None:
-    """`hold`, `back` or `drop` of an order. Raises Refused where it is to be held, and was asked for at another router, whose file
-    says otherwise."""
+def mark(path: Path, order: work_orders.Order, key: str, value: bool = True) -> None:
+    """Sets or removes `hold`, `back` or `drop` in the request of an order. Raises Refused for `hold` of an order that was requested at
+    another router, because that router's file would contradict it."""
 
-    def what(rows: list) -> None:
-        row = next((row for row in rows if name_of(row) == order.ident), None)
+    def change_rows(rows: list) -> None:
+        row = next((row for row in rows if ident_of(row) == order.ident), None)
         if row is None and key == "hold":
             raise Refused(f"{order.machine} was asked for at {order.by}: hold it, or let it go, there")
         if row is None:
             row = {"id": order.ident, "machine": order.machine, "needs_s": order.needs}
             rows.append(row)
-        if yes:
+        if value:
             row[key] = True
         else:
             row.pop(key, None)
 
-    change_operators_file(path, what)
+    change_operators_file(path, change_rows)
 
 
-def set_left(path: Path, name: str, yes: bool) -> None:
-    """A member that does not vote has left for good, or may join again."""
+def set_left(path: Path, name: str, has_left: bool) -> None:
+    """Records that a member that does not vote has left for good, or that it may join again."""
 
-    def what(rows: list) -> None:
-        rows[:] = [row for row in rows if row != name] + [name] * yes
+    def change_rows(rows: list) -> None:
+        rows[:] = [row for row in rows if row != name] + [name] * has_left
 
-    change_operators_file(path, what, "left")
+    change_operators_file(path, change_rows, "left")
 
 
-def routers(path: Path) -> list[int]:
-    """Processes of the program on this machine that read that operators' file, as far as this user may look."""
-    found, wanted = [], path.resolve()
+def router_pids(path: Path) -> list[int]:
+    """Processes of this program on this machine that read that operators' file, as far as this user may see them."""
+    pids, wanted_path = [], path.resolve()
     for entry in Path("/proc").iterdir():
         if not entry.name.isdigit() or int(entry.name) == os.getpid():
             continue
         try:
             if b"fieldspur" not in (entry / "cmdline").read_bytes():
                 continue
-            for pair in (entry / "environ").read_bytes().split(b"\0"):
+            for variable in (entry / "environ").read_bytes().split(b"\0"):
                 if (
-                    pair.startswith(b"LB_OPERATORS=")
-                    and Path(os.fsdecode(pair[13:])).is_absolute()
-                    and Path(os.fsdecode(pair[13:])).resolve() == wanted
+                    variable.startswith(b"LB_OPERATORS=")
+                    and Path(os.fsdecode(variable[13:])).is_absolute()
+                    and Path(os.fsdecode(variable[13:])).resolve() == wanted_path
                 ):
-                    found.append(int(entry.name))
+                    pids.append(int(entry.name))
         except OSError:
             continue
-    return found
+    return pids
 
 
 def signal_router(path: Path, pid: int | None) -> int:
-    """Tells the router that reads that file to read it again; raises Refused where there is not just one."""
-    found = [pid] if pid else routers(path)
-    if len(found) != 1:
+    """Signals the router that reads that file to read it again, and returns its pid. Raises Refused unless there is exactly one."""
+    pids = [pid] if pid else router_pids(path)
+    if len(pids) != 1:
         raise Refused(
-            f"{path} is written, but {'no router' if not found else f'{len(found)} routers'} on this machine "
+            f"{path} is written, but {'no router' if not pids else f'{len(pids)} routers'} on this machine "
             f"read it by LB_OPERATORS; send SIGHUP, or name the process with --pid"
         )
     try:
-        os.kill(found[0], signal.SIGHUP)
+        os.kill(pids[0], signal.SIGHUP)
     except OSError as wrong:
-        raise Refused(f"{path} is written, but process {found[0]}: {wrong.strerror}") from None
-    return found[0]
+        raise Refused(f"{path} is written, but process {pids[0]}: {wrong.strerror}") from None
+    return pids[0]
 
 
-def wait_until_settled(fleet: Fleet, order: str, wait: float, how) -> work_orders.Order | work_orders.Ended:
-    """Waits until the fleet has agreed on that order as `how(order or ended)` wants it; raises Refused with what stands meanwhile."""
-    end, seen = time.monotonic() + wait, None
+def wait_until_settled(fleet: Fleet, ident: str, wait: float, is_settled) -> work_orders.Order | work_orders.Ended:
+    """Waits up to `wait` seconds until the fleet has agreed on the order such that `is_settled(order or ended)`, and returns it. Raises
+    Refused with the order's state after that time."""
+    deadline, latest = time.monotonic() + wait, None
     while True:
         document = latest_document(read_members(fleet))
-        seen = document.find(order) or next((one for one in document.ended if one.ident == order), None)
-        if seen is not None and how(seen):
-            return seen
-        if time.monotonic() >= end:
+        latest = document.find(ident) or next((ended for ended in document.ended if ended.ident == ident), None)
+        if latest is not None and is_settled(latest):
+            return latest
+        if time.monotonic() >= deadline:
             raise Refused(
                 f"asked for, and not settled within {wait:g} s: "
                 + (
                     "no majority has agreed on it"
-                    if seen is None
-                    else f"{seen.machine} is {seen[6]}"
-                    if isinstance(seen, work_orders.Order)
-                    else f"{seen.machine} ended as {seen.how}"
+                    if latest is None
+                    else f"{latest.machine} is {latest[6]}"
+                    if isinstance(latest, work_orders.Order)
+                    else f"{latest.machine} ended as {latest.how}"
                 )
             )
-        time.sleep(LOOK)
+        time.sleep(POLL_INTERVAL_S)
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -345,7 +345,7 @@
     def make_plan(self, ready: list, running: list, pool: planner.MachinePool, now: int) -> planner.Plan:
         """A plan costs some 30 ms for a dozen units, so a new one is made only when its inputs differ, or the last one is too old."""
         inputs = (
-            [unit._replace(before=0.0) for unit in ready],
+            [unit._replace(deadline_s=0.0) for unit in ready],
             [unit.name for unit, _ in running],
             pool.away,
             pool.trouble,
--- a/fieldspur/fleet/planner.py
+++ b/fieldspur/fleet/planner.py
@@ -1,9 +1,9 @@
-"""Which machines may be out for work together, and in which order they go in the least time. Free of I/O and of chance.
+"""Plans which machines may be out together, and in which order they go out in the least time. Free of I/O and of randomness.
 
-Bounds speak of sets: a set that is allowed stays so when a machine comes back. So a list of units, each begun as early as the
-bounds let it, holds a shortest plan under one of its orders (serial schedule generation; Sprecher, Kolisch, Drexl, "Semi-active,
-active and non-delay schedules", 1995). A few units are tried in every order, more of them by rules and exchanges.
-"""
+Bounds apply to sets of machines: a set that is allowed stays allowed when a machine of it comes back. So starting each unit of a list
+as early as the bounds allow gives a shortest plan for one of the orders of the list (serial schedule generation; Sprecher, Kolisch,
+Drexl, "Semi-active, active and non-delay schedules", 1995). For a few units all orders are tried, for more units sorting rules and
+exchanges."""
 
 from __future__ import annotations
 
@@ -11,79 +11,87 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-SEEN = 0.02  # capacities as seen differ by so much from look to look; a share at its bound is not past it for that
-EVERY_ORDER = 5  # units up to which all orders are tried
-EXCHANGES, LOOKS = 120, 30_000  # further orders tried beyond, each one exchange away from the best; by units squared
+# Relative tolerance of shares of capacity: observed capacities vary by this much, which must not push a share over its bound.
+CAPACITY_TOLERANCE = 0.02
+MAX_EXHAUSTIVE_UNITS = 5  # up to this many units, all orders are tried
+MAX_EXCHANGES = 120  # for more units: orders that are tried, each one exchange away from the best one
+MAX_EXCHANGE_WORK = 30_000  # bound on exchanges times the square of the number of units
 
 
 class Machine(NamedTuple):
-    """As seen by the routers, not as rated: `capacity` and `load` in transfers at full pace, `fills` in txns a second, whose
-    objects are filled anew elsewhere once it is out. `usable`: listed as up, and not cold."""
+    """A machine as the routers observe it, not as it is rated."""
 
     zone: str
     is_parent: bool
-    capacity: float
-    load: float
-    fills: float
-    usable: bool = True
+    capacity: float  # transfers at full pace
+    load: float  # transfers at full pace
+    fills: float  # txns a second whose objects are filled again elsewhere once the machine is out
+    usable: bool = True  # listed as up, and not in slow start
 
 
 class Bounds(NamedTuple):
+    """What may be out. The field names are keys of the operators' file."""
+
     zone: float = 0.34  # share of a location's capacity that may be out
-    all: float = 0.25  # the same over all locations
-    both: float = 0.0  # share of a location's objects whose home and next cache may be out together; 0: never
-    headroom: float = 0.8  # the load may take so much of what stays
-    fills: float = 0.0  # a second, that the store bears on top; 0: no bound
-    parents: int = 1  # parents out together
-    at_once: int = 8  # machines out together
+    all: float = 0.25  # share of the capacity of all locations that may be out
+    both: float = 0.0  # share of a location's objects whose home and next cache may be out together; 0: none
+    headroom: float = 0.8  # share of the remaining capacity that the load may take
+    fills: float = 0.0  # additional fills a second that the store can serve; 0: no bound
+    parents: int = 1  # parents that may be out together
+    at_once: int = 8  # machines that may be out together
 
 
 class Unit(NamedTuple):
-    """Machines that go and come together. `takes` s from going until they bear their part again; `before`: s from now by
-    which it is to be back, 0 where it does not matter."""
+    """Machines that go out and come back together."""
 
     name: str
     machines: frozenset
-    takes: float
-    before: float = 0.0
+    duration_s: float  # from the start until the machines carry their share of the load again
+    deadline_s: float = 0.0  # s from now by which the unit should be back, 0 for no deadline
 
 
 class Step(NamedTuple):
+    """When a unit is out, in s from now."""
+
     unit: str
-    start: float  # s from now
+    start: float
     end: float
 
 
 class Plan(NamedTuple):
-    steps: tuple[Step, ...]  # by start
-    impossible: dict[str, str]  # units that no moment allows, and the bound that violated_bound them
-    length: float  # s until all are back
-    min_length: float  # no plan within the bounds can be shorter
+    """The result of `make_plan`."""
+
+    steps: tuple[Step, ...]  # sorted by start
+    impossible: dict[str, str]  # units that can never go, each with the bound that forbids it
+    length: float  # s until all units are back
+    min_length: float  # lower limit on the length of every plan within the bounds
 
 
 class MachinePool:
-    """The machines, and what the bounds say about sets of them being out; answers are remembered."""
+    """All machines, and which sets of them may be out by the bounds. Answers are cached. `trouble` gives the reason why no cache of a
+    location may go out, by location."""
 
     def __init__(self, machines: dict[str, Machine], bounds: Bounds, trouble: dict[str, str] | None = None):
         self.machines, self.bounds, self.trouble = machines, bounds, trouble or {}
-        self.zones: dict[str, list[str]] = {}
-        for name, one in machines.items():
-            if not one.is_parent:
-                self.zones.setdefault(one.zone, []).append(name)
-        self.parents = [name for name, one in machines.items() if one.is_parent]
-        self.total = sum(one.capacity for one in machines.values() if not one.is_parent)
-        self.away = frozenset(name for name, one in machines.items() if not one.usable)
-        self.said: dict[tuple, str] = {}
+        self.caches_by_zone: dict[str, list[str]] = {}
+        for name, machine in machines.items():
+            if not machine.is_parent:
+                self.caches_by_zone.setdefault(machine.zone, []).append(name)
+        self.parents = [name for name, machine in machines.items() if machine.is_parent]
+        self.total_capacity = sum(machine.capacity for machine in machines.values() if not machine.is_parent)
+        self.away = frozenset(name for name, machine in machines.items() if not machine.usable)
+        self.answers: dict[tuple, str] = {}
 
     def violated_bound(self, out: frozenset, ideal: bool = False) -> str:
-        """The bound that such a set would break, '' where it may be out. What is away by the board's word, or cold, counts as out
-        with them; `ideal`: as if all others were well, and no location in trouble."""
+        """The bound that the set `out` would violate, '' where the set may be out. Machines that the discovery service withdrew, or that
+        are in slow start, count as out too. `ideal`: as if all other machines were usable and no location in trouble."""
         key = (out, ideal)
-        if key not in self.said:
-            self.said[key] = self.judge(out, ideal)
-        return self.said[key]
+        if key not in self.answers:
+            self.answers[key] = self.check_bounds(out, ideal)
+        return self.answers[key]
 
-    def judge(self, out: frozenset, ideal: bool) -> str:
+    def check_bounds(self, out: frozenset, ideal: bool) -> str:
+        """As `violated_bound`, without the cache."""
         bounds = self.bounds
         missing = [name for name in out if name not in self.machines]
         if missing:
@@ -91,75 +99,77 @@
         if len(out) > bounds.at_once:
             return f"{len(out)} machines out, bounds.at_once allows {bounds.at_once}"
         gone = out if ideal else out | self.away
-        lean = [name for name in gone if self.machines[name].is_parent]
-        if lean and (found := self.judge_parents(out, lean, gone)):
-            return found
-        caches = [name for name in gone if not self.machines[name].is_parent]
+        parents_gone = [name for name in gone if self.machines[name].is_parent]
+        if parents_gone and (reason := self.check_parents(out, parents_gone, gone)):
+            return reason
+        caches_gone = [name for name in gone if not self.machines[name].is_parent]
         for zone in sorted({self.machines[name].zone for name in out if not self.machines[name].is_parent}):
-            if found := self.judge_zone(zone, [name for name in caches if self.machines[name].zone == zone], ideal):
-                return found
+            if reason := self.check_zone(zone, [name for name in caches_gone if self.machines[name].zone == zone], ideal):
+                return reason
         if any(not self.machines[name].is_parent for name in out):
-            share = sum(self.machines[name].capacity for name in caches) / (self.total or 1.0)
-            if len(caches) > 1 and share > bounds.all * (1 + SEEN):
+            share = sum(self.machines[name].capacity for name in caches_gone) / (self.total_capacity or 1.0)
+            if len(caches_gone) > 1 and share > bounds.all * (1 + CAPACITY_TOLERANCE):
                 return f"{share:.2f} of all capacity out, bounds.all allows {bounds.all:.2f}"
         fills = sum(self.machines[name].fills for name in gone)
         if bounds.fills and fills > bounds.fills + 1e-9:
             return f"{fills:.0f} more fills a second, bounds.fills_s allows {bounds.fills:g}"
         return ""
 
-    def judge_parents(self, out: frozenset, lean: list, gone: frozenset) -> str:
-        """A parent goes while all caches are there: by the shared hash each of them leans on each parent."""
-        bounds, parents = self.bounds, [name for name in out if self.machines[name].is_parent]
-        if not parents:  # a cache, while a parent is away
-            return f"{min(lean)} is away, on which the caches lean"
-        if len(lean) > bounds.parents:
-            return f"{len(lean)} parents out, bounds.parents allows {bounds.parents}"
-        if len(lean) == len(self.parents):
+    def check_parents(self, out: frozenset, parents_gone: list, gone: frozenset) -> str:
+        """A parent may go out only while all caches are there: by the shared hash each cache depends on each parent."""
+        bounds, parents_out = self.bounds, [name for name in out if self.machines[name].is_parent]
+        if not parents_out:  # a cache is to go out while a parent is away
+            return f"{min(parents_gone)} is away, on which the caches lean"
+        if len(parents_gone) > bounds.parents:
+            return f"{len(parents_gone)} parents out, bounds.parents allows {bounds.parents}"
+        if len(parents_gone) == len(self.parents):
             return "no parent would be left"
-        leaning = sorted(name for name in gone if not self.machines[name].is_parent)
-        if leaning:
-            return f"{leaning[0]} is away, that leans on {min(parents)}"
-        stays = sum(self.machines[name].capacity for name in self.parents if name not in gone)
+        caches_gone = sorted(name for name in gone if not self.machines[name].is_parent)
+        if caches_gone:
+            return f"{caches_gone[0]} is away, that leans on {min(parents_out)}"
+        remaining = sum(self.machines[name].capacity for name in self.parents if name not in gone)
         load = sum(self.machines[name].load for name in self.parents)
-        if load > bounds.headroom * stays + 1e-9:
-            return f"parents: a load of {load:.1f}, bounds.headroom allows {bounds.headroom * stays:.1f} of those that stay"
+        if load > bounds.headroom * remaining + 1e-9:
+            return f"parents: a load of {load:.1f}, bounds.headroom allows {bounds.headroom * remaining:.1f} of those that stay"
         return ""
 
-    def judge_zone(self, zone: str, out: list, ideal: bool) -> str:
-        bounds, names = self.bounds, self.zones[zone]
+    def check_zone(self, zone: str, out: list, ideal: bool) -> str:
+        """The bound of this location that the caches `out` violate, '' where they may be out."""
+        bounds, names = self.bounds, self.caches_by_zone[zone]
         if not ideal and self.trouble.get(zone):
             return f"{zone}: {self.trouble[zone]}"
         total = sum(self.machines[name].capacity for name in names) or 1.0
-        gone = sum(self.machines[name].capacity for name in out)
-        if gone > bounds.zone * (1 + SEEN) * total:
-            return f"{zone}: {gone / total:.2f} of its capacity out, bounds.zone allows {bounds.zone:.2f}"
+        capacity_out = sum(self.machines[name].capacity for name in out)
+        if capacity_out > bounds.zone * (1 + CAPACITY_TOLERANCE) * total:
+            return f"{zone}: {capacity_out / total:.2f} of its capacity out, bounds.zone allows {bounds.zone:.2f}"
         load = sum(self.machines[name].load for name in names)
-        if load > bounds.headroom * (total - gone) + 1e-9:
-            return f"{zone}: a load of {load:.1f}, bounds.headroom allows {bounds.headroom * (total - gone):.1f} of what stays"
-        both = self.both(names, out, total)
+        if load > bounds.headroom * (total - capacity_out) + 1e-9:
+            return f"{zone}: a load of {load:.1f}, bounds.headroom allows {bounds.headroom * (total - capacity_out):.1f} of what stays"
+        both = self.share_losing_both(names, out, total)
         if both > bounds.both + 1e-9:
             return f"{zone}: {both:.3f} of objects lose home and next cache, bounds.both allows {bounds.both:.3f}"
         return ""
 
-    def both(self, names: list, out: list, total: float) -> float:
-        """The share of objects whose first two caches are both in `out`, by weighted rendezvous: a is first by its share of the
-        whole, b next by its share of what is left."""
+    def share_losing_both(self, names: list, out: list, total: float) -> float:
+        """The share of objects whose first two caches are both in `out`, by weighted rendezvous hashing: a cache is first with the
+        probability of its share of the total capacity, another one second with that of its share of the remaining capacity."""
         sizes = [self.machines[name].capacity or 0.01 for name in out]
         total = max(total, sum(sizes))
-        return sum(a / total * b / max(total - a, 1e-9) for a, b in itertools.permutations(sizes, 2))
+        return sum(first / total * second / max(total - first, 1e-9) for first, second in itertools.permutations(sizes, 2))
 
 
-def schedule(order: Iterable[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> list[Step]:
-    """Each unit as early as the bounds let it, in that order; `running`: those that are out, and s until they are back."""
-    placed = [(unit.machines, 0.0, left) for unit, left in running]
+def schedule(order: Iterable[Unit], running: list[tuple[Unit, float]], pool: MachinePool) -> list[Step]:
+    """Starts each unit as early as the bounds allow, in the given order. `running`: the units that are out, each with the seconds until
+    it is back."""
+    placed = [(unit.machines, 0.0, remaining_s) for unit, remaining_s in running]  # (machines, start, end)
     steps = []
     for unit in order:
         for start in sorted({0.0, *(end for _, _, end in placed)}):
-            end = start + unit.takes
-            beside = [row for row in placed if row[1] < end and row[2] > start]
+            end = start + unit.duration_s
+            overlapping = [row for row in placed if row[1] < end and row[2] > start]
             if all(
-                not park.violated_bound(frozenset().union(unit.machines, *(row[0] for row in beside if row[1] <= at < row[2])))
-                for at in {start, *(row[1] for row in beside if row[1] > start)}
+                not pool.violated_bound(frozenset().union(unit.machines, *(row[0] for row in overlapping if row[1] <= moment < row[2])))
+                for moment in {start, *(row[1] for row in overlapping if row[1] > start)}
             ):
                 placed.append((unit.machines, start, end))
                 steps.append(Step(unit.name, start, end))
@@ -168,77 +178,80 @@
 
 
 def cost(steps: list[Step], units: dict[str, Unit]) -> tuple:
-    """Less is better: those that never go, time past their `before`, the length, the sum of ends."""
-    late = sum(max(0.0, step.end - units[step.unit].before) for step in steps if units[step.unit].before)
-    return len(units) - len(steps), late, max((step.end for step in steps), default=0.0), sum(step.end for step in steps)
+    """The cost of a schedule, lower is better: units that never go, time past deadlines, the length, the sum of all ends."""
+    late_s = sum(max(0.0, step.end - units[step.unit].deadline_s) for step in steps if units[step.unit].deadline_s)
+    return len(units) - len(steps), late_s, max((step.end for step in steps), default=0.0), sum(step.end for step in steps)
 
 
-def orders(units: list[Unit]) -> Iterable[list[Unit]]:
-    if len(units) <= EVERY_ORDER:
+def candidate_orders(units: list[Unit]) -> Iterable[list[Unit]]:
+    """All orders of a few units; for more units one order for each sorting rule."""
+    if len(units) <= MAX_EXHAUSTIVE_UNITS:
         yield from map(list, itertools.permutations(units))
         return
     for key in (
-        lambda u: (u.before or float("inf"), -u.takes),
-        lambda u: -u.takes,
-        lambda u: (-len(u.machines), -u.takes),
-        lambda u: u.takes,
+        lambda unit: (unit.deadline_s or float("inf"), -unit.duration_s),
+        lambda unit: -unit.duration_s,
+        lambda unit: (-len(unit.machines), -unit.duration_s),
+        lambda unit: unit.duration_s,
     ):
-        yield sorted(units, key=lambda u: (key(u), u.name))
+        yield sorted(units, key=lambda unit: (key(unit), unit.name))
 
 
-def improved(best: list[Unit], found: tuple, running, park: MachinePool, by_name: dict) -> list[Unit]:
-    """One exchange after the other, nearer places first, as long as it pays and up to a bound."""
-    tried, better, most = 0, True, min(EXCHANGES, LOOKS // len(best) ** 2)
-    while better and tried < most:
-        better = False
-        for gap in range(1, len(best)):
-            for at in range(len(best) - gap):
+def improve_order(best: list[Unit], best_cost: tuple, running, pool: MachinePool, by_name: dict) -> list[Unit]:
+    """Exchanges pairs of units, near ones first, as long as the cost falls and up to a maximum number of tries."""
+    tries, improved, max_tries = 0, True, min(MAX_EXCHANGES, MAX_EXCHANGE_WORK // len(best) ** 2)
+    while improved and tries < max_tries:
+        improved = False
+        for distance in range(1, len(best)):
+            for index in range(len(best) - distance):
                 other = list(best)
-                other[at], other[at + gap] = other[at + gap], other[at]
-                tried += 1
-                now = cost(schedule(other, running, park), by_name)
-                if now < found:
-                    best, found, better = other, now, True
-                if tried >= most:
+                other[index], other[index + distance] = other[index + distance], other[index]
+                tries += 1
+                other_cost = cost(schedule(other, running, pool), by_name)
+                if other_cost < best_cost:
+                    best, best_cost, improved = other, other_cost, True
+                if tries >= max_tries:
                     return best
     return best
 
 
-def floor(units: list[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> float:
-    """No plan is shorter: the longest unit; those of which no two may be out together, one after the other."""
-    rows = [(unit.machines, unit.takes) for unit in units] + [(unit.machines, left) for unit, left in running]
-    least = max((takes for _, takes in rows), default=0.0)
-    for machines, takes in rows:  # a clique grown round each, greedily
-        clique, length = [machines], takes
-        for other, more in sorted(rows, key=lambda row: -row[1]):
-            if other not in clique and all(park.violated_bound(other | one, True) for one in clique):
+def min_plan_length(units: list[Unit], running: list[tuple[Unit, float]], pool: MachinePool) -> float:
+    """A lower limit on the length of every plan: the longest unit, and units of which no two may be out together, one after the
+    other."""
+    rows = [(unit.machines, unit.duration_s) for unit in units] + [(unit.machines, remaining_s) for unit, remaining_s in running]
+    limit = max((duration_s for _, duration_s in rows), default=0.0)
+    for machines, duration_s in rows:  # grows a clique of mutually exclusive units around each unit, greedily
+        clique, length = [machines], duration_s
+        for other, other_duration_s in sorted(rows, key=lambda row: -row[1]):
+            if other not in clique and all(pool.violated_bound(other | member, True) for member in clique):
                 clique.append(other)
-                length += more
-        least = max(least, length)
-    least = max(least, sum(len(machines) * takes for machines, takes in rows) / park.bounds.at_once)
-    for zone, names in park.zones.items():  # capacity that is out, over time, against what may be at a moment
-        mine = [(sum(park.machines[name].capacity for name in machines if name in names), takes) for machines, takes in rows]
-        total, load = (sum(park.machines[name][at] for name in names) for at in (2, 3))
-        most = min(park.bounds.zone * total, total - load / park.bounds.headroom)
-        most = max([most] + [capacity for capacity, _ in mine])
-        if most > 0:
-            least = max(least, sum(capacity * takes for capacity, takes in mine) / most)
-    return least
-
-
-def make_plan(units: list[Unit], running: list[tuple[Unit, float]], park: MachinePool) -> Plan:
-    """The shortest order found, from what is out now. Units that could not go even alone, with all others well, are impossible;
-    those that only wait for something stay out of the steps until it is over (`MachinePool.violated_bound` says what for)."""
-    impossible = {unit.name: why for unit in units if (why := park.violated_bound(unit.machines, True))}
+                length += other_duration_s
+        limit = max(limit, length)
+    limit = max(limit, sum(len(machines) * duration_s for machines, duration_s in rows) / pool.bounds.at_once)
+    # The capacity that is out, integrated over time, divided by the capacity that may be out at any moment.
+    for zone, names in pool.caches_by_zone.items():
+        zone_rows = [(sum(pool.machines[name].capacity for name in machines if name in names), duration_s) for machines, duration_s in rows]
+        capacity, load = (sum(pool.machines[name][field] for name in names) for field in (2, 3))  # fields of Machine
+        max_out = min(pool.bounds.zone * capacity, capacity - load / pool.bounds.headroom)
+        max_out = max([max_out] + [unit_capacity for unit_capacity, _ in zone_rows])
+        if max_out > 0:
+            limit = max(limit, sum(unit_capacity * duration_s for unit_capacity, duration_s in zone_rows) / max_out)
+    return limit
+
+
+def make_plan(units: list[Unit], running: list[tuple[Unit, float]], pool: MachinePool) -> Plan:
+    """The shortest order found for the units, given those that are out now. Units that could not go even alone with all other machines
+    usable are impossible. Units that can't go at present have no step (`MachinePool.violated_bound` tells the reason)."""
+    impossible = {unit.name: reason for unit in units if (reason := pool.violated_bound(unit.machines, True))}
     units = [unit for unit in units if unit.name not in impossible]
     by_name = {unit.name: unit for unit in units}
-    best, found = [], None
-    for order in orders(units):
-        now = cost(schedule(order, running, park), by_name)
-        if found is None or now < found:
-            best, found = order, now
-    if len(units) > EVERY_ORDER:
-        best = improved(best, found, running, park, by_name)
-    steps = schedule(best, running, park)
-    length = max([step.end for step in steps] + [left for _, left in running], default=0.0)
-    return Plan(tuple(sorted(steps, key=lambda step: (step.start, step.unit))), impossible, length, floor(units, running, park))
+    best, best_cost = [], None
+    for order in candidate_orders(units):
+        order_cost = cost(schedule(order, running, pool), by_name)
+        if best_cost is None or order_cost < best_cost:
+            best, best_cost = order, order_cost
+    if len(units) > MAX_EXHAUSTIVE_UNITS:
+        best = improve_order(best, best_cost, running, pool, by_name)
+    steps = schedule(best, running, pool)
+    length = max([step.end for step in steps] + [remaining_s for _, remaining_s in running], default=0.0)
+    return Plan(tuple(sorted(steps, key=lambda step: (step.start, step.unit))), impossible, length, min_plan_length(units, running, pool))
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -80,7 +80,7 @@
         first = sorted(names, key=lambda name: chance.expovariate(machines[name].capacity))[:2]
         lost += set(first) == gone
     park = MachinePool(machines, Bounds())
-    assert park.both(names, sorted(gone), 60.0) == pytest.approx(lost / 40_000, abs=0.01)
+    assert park.share_losing_both(names, sorted(gone), 60.0) == pytest.approx(lost / 40_000, abs=0.01)
 
 
 def test_no_plan_is_said_plainly_with_the_bound_that_forbids_it():
@@ -98,7 +98,7 @@
 
 def test_what_is_wanted_sooner_goes_first():
     park = MachinePool(caches(6), Bounds())
-    found = make_plan([Unit("long", out("n0"), 50.0), Unit("soon", out("n1"), 5.0, before=10.0)], [], park)
+    found = make_plan([Unit("long", out("n0"), 50.0), Unit("soon", out("n1"), 5.0, deadline_s=10.0)], [], park)
     assert [step.unit for step in found.steps] == ["soon", "long"]
 
 
@@ -128,7 +128,7 @@
 
 def shortest(units, park):
     """The least length over all starts on whole seconds, by trying all of them."""
-    most = int(sum(unit.takes for unit in units))
+    most = int(sum(unit.duration_s for unit in units))
     best = [float("inf")]
 
     def place(at, placed):
@@ -137,9 +137,9 @@
             return
         unit = units[at]
         for start in range(most):
-            if start + unit.takes >= best[0]:
+            if start + unit.duration_s >= best[0]:
                 return
-            rows = [*placed, (unit.machines, start, start + unit.takes)]
+            rows = [*placed, (unit.machines, start, start + unit.duration_s)]
             if all(not park.violated_bound(frozenset().union(*(m for m, s, e in rows if s <= t < e))) for t in {s for _, s, _ in rows}):
                 place(at + 1, rows)
 
@@ -172,7 +172,7 @@
     park = MachinePool(caches(30), Bounds(zone=0.1, all=0.1, both=0.01))
     units = [Unit(f"n{n}", out(f"n{n}"), chance.uniform(3.0, 9.0)) for n in range(12)]
     found = make_plan(units, [], park)
-    ideal = sum(unit.takes for unit in units) / 3
+    ideal = sum(unit.duration_s for unit in units) / 3
     assert found.length <= 1.15 * max(ideal, found.min_length)
     for order in itertools.islice(itertools.permutations(units), 0, 4000, 997):
         for step in (steps := schedule(order, [], park)):
