--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -1,7 +1,8 @@
-"""A router that goes by what others settle, and has no voice in it. Free of I/O.
+"""A router that follows the agreed documents and does not vote. Free of I/O.
 
-Each that settles reads all others, which is the square of their number in the whole; so of many routers few settle, and the others
-read those few. They are told, asked and counted like them before a machine goes (`work.Work.routers`)."""
+Each voting member reads the lines of all others, so the total cost grows with the square of their number. In a large fleet few routers
+vote, and the others read those few. Followers are notified, report and are counted like voting members before a machine goes out
+(`work_orders.WorkDocument.routers`)."""
 
 from __future__ import annotations
 
@@ -13,9 +14,12 @@
 
 
 class Follower:
-    """Stands where a Member does. `members`: how many settle; `kept`: the document that it went by when it ended."""
+    """Takes the place of a `Member` in the transport, and offers the same methods.
 
-    fenced = False
+    `members` is the number of voting members, `length` the length of a lease in ns, and `kept` the stored document that this router
+    went by when its last process ended."""
+
+    fenced = False  # a later process of the same name does not stop a follower
 
     def __init__(
         self,
@@ -37,7 +41,7 @@
         coordinator.update_document(self.decided.value)
 
     def restore(self, kept: Register, now: int) -> None:
-        """What it had kept could be read only now."""
+        """Takes over the stored document, which could not be read at the start."""
         self.resumed = True
         if kept.decided.stamp > self.decided.stamp:
             self.decided = kept.decided
@@ -46,7 +50,7 @@
     decode_cached = Member.decode_cached
 
     def receive_line(self, member: int, value: dict, now: int) -> None:
-        """A line of one that settles; raises BadLine where it is none, or of another fleet."""
+        """Reads a line of a voting member; raises BadLine where it is invalid or of another fleet."""
         check_fleet(self.fleet, value)
         register = self.decode_cached(member, value.get("register"))
         self.coordinator.receive_line(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
@@ -68,11 +72,12 @@
         return False
 
     def may_be_founded(self) -> bool:
-        return any(one is None or one.life or one.back for one in self.views)
+        """Whether a fleet exists, or may exist because not all voting members were heard from."""
+        return any(view is None or view.life or view.back for view in self.views)
 
     def is_up_to_date(self) -> bool:
-        """It is counted, and knows as much of what is out as any process of it before may have said that it goes by; or there is no
-        fleet yet."""
+        """Whether this router may serve: no fleet exists yet, or the document counts this router and it knows at least the documents that
+        an earlier process of it may have reported as applied."""
         remembers = self.resumed or has_majority_view(self.views)
         return remembers and self.coordinator.is_counted() or not self.may_be_founded()
 
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -1,5 +1,7 @@
-"""Between the notice board and the router: what is out for work is shown to the router as draining, whatever the board says, and
-what comes back from it as started when that was heard. Decides nothing: `coordinator` says which machines."""
+"""A layer between the discovery client and the router. It shows machines that are out for maintenance as draining, whatever the
+discovery service lists, and machines that have come back as just started, so that they are in slow start.
+
+This module decides nothing: `coordinator` determines which machines are out."""
 
 from __future__ import annotations
 
@@ -17,17 +19,18 @@
 from fieldspur.site import MS
 
 SECOND = 1_000_000_000
-GONE_KEPT = 256  # servers that are gone, beside those that stand
-TURNED_SPAN = 4 * SECOND  # in which most of what was turned away is forgotten: single seconds of few txns tell nothing
+MAX_GONE_SERVERS = 256  # removed servers that are remembered, besides the listed ones
+# Time in which most of the earlier rejections fade from the rates: with few txns, a single second says nothing.
+REJECTED_DECAY_NS = 4 * SECOND
 
 
-def digits(value: float) -> float:
-    """Figures that are published, without digits that mean nothing."""
+def round_figure(value: float) -> float:
+    """Rounds a figure that is published to three significant digits."""
     return float(f"{value:.3g}")
 
 
 class ServerListOverlay:
-    """Takes the board's word in the place of `route`, and hands it on."""
+    """Takes list changes from the discovery client in the place of the router host (`route`), and passes them on to it."""
 
     def __init__(self, route):
         self.route, self.site = route, route.site
@@ -35,16 +38,16 @@
         self.kinds = {name: "parent" if n == fleet["parent_kind"] else "cache" for n, name in enumerate(kinds) if n != fleet["origin_kind"]}
         self.lock = threading.Lock()
         self.servers: dict[str, ListedServer] = {}
-        self.gone: dict[str, None] = {}  # names of those rows that are gone, in the order in which they went
-        self.off: frozenset = frozenset()
-        self.returned_at: dict[str, int] = {}  # machine: Unix ns at which it was heard to be back
-        self.backs: frozenset = frozenset()  # (machine, number) that were heard
+        self.gone_names: dict[str, None] = {}  # names of the removed servers, in the order of their removal
+        self.withdrawn: frozenset = frozenset()
+        self.returned_at: dict[str, int] = {}  # machine: Unix ns at which its return was first known here
+        self.returns: frozenset = frozenset()  # (machine, document number) of the returns that are known here
         self.listings: dict[str, Listing] = {}
-        self.shut = self.started = False
-        self.txns = (0, 0, 0)  # turned away and all so far, as of when
-        self.faded = (0.0, 0.0)  # of those, what of the last seconds counts still
+        self.rejects_all = self.gate_opened = False
+        self.total_counts = (0, 0, 0)  # rejected txns, all txns, and the time of that count in ns
+        self.recent_counts = (0.0, 0.0)  # the same two counts over the last seconds, fading with time
 
-    # The board's side, as `Board` calls it.
+    # Methods that the discovery client calls.
 
     def gather(self) -> None:
         self.route.gather()
@@ -56,108 +59,119 @@
         self.route.purge_told(purge, now)
 
     def list_told(self, change: ListChange, now: bool = False) -> None:
-        with self.lock:  # one list change after the other; the thread of the board gathers meanwhile and waits for nobody
+        with self.lock:  # one list change at a time; the discovery thread collects events meanwhile and waits for nothing
             if change.complete:
-                self.servers, self.gone, self.listings = {}, {}, {}
+                self.servers, self.gone_names, self.listings = {}, {}, {}
             self.servers |= {row.name: row for row in change.servers}
-            # A new dict each time: who goes by the listings sees by that that they are others.
+            # A new dict each time, because readers detect a change of the listings by the dict's identity.
             self.listings = self.listings | {row.name: self.listing(row) for row in change.servers}
             for row in change.servers:
-                self.gone.pop(row.name, None)
+                self.gone_names.pop(row.name, None)
                 if row.state == "gone":
-                    self.gone[row.name] = None
+                    self.gone_names[row.name] = None
             self.forget_gone()
-            self.route.list_told(ListChange(change.complete, tuple(map(self.as_routed, change.servers))), now)
+            self.route.list_told(ListChange(change.complete, tuple(map(self.row_for_router, change.servers))), now)
 
     def listing(self, row: ListedServer) -> Listing:
+        """The listed server as the coordinator sees it; `kind` is empty for servers that work orders do not cover."""
         kind = self.kinds.get(row.kind, "") if row.zone in self.site.zones else ""
         return Listing(row.state, row.started // MS, "%s:%d" % row.address, row.zone, kind, row.rating)
 
     def forget_gone(self) -> None:
-        """Of servers that are gone, those that went last are kept, and what is kept off: guards against names that never come again."""
-        if len(self.gone) <= GONE_KEPT:
+        """Keeps only the last removed servers, and those that are withdrawn. Otherwise names that are never listed again would use up
+        memory."""
+        if len(self.gone_names) <= MAX_GONE_SERVERS:
             return
-        for name in list(self.gone)[:-GONE_KEPT]:
-            if name not in self.off:
-                del self.gone[name], self.servers[name], self.listings[name]
+        for name in list(self.gone_names)[:-MAX_GONE_SERVERS]:
+            if name not in self.withdrawn:
+                del self.gone_names[name], self.servers[name], self.listings[name]
                 self.returned_at.pop(name, None)
 
-    def as_routed(self, row: ListedServer) -> ListedServer:
-        if row.state == "up" and row.name in self.off:
+    def row_for_router(self, row: ListedServer) -> ListedServer:
+        """The listed server as the router is to see it."""
+        if row.state == "up" and row.name in self.withdrawn:
             return replace(row, state="draining")
         return replace(row, started=self.returned_at[row.name]) if self.returned_at.get(row.name, 0) > row.started else row
 
-    # The fleet's side.
+    # Methods that the fleet's threads call.
 
-    def withdraw(self, off: frozenset, backs: frozenset) -> None:
-        """These machines are not to be used from now on; those of `backs` are back, cold from when it was heard first."""
+    def withdraw(self, withdrawn: frozenset, returns: frozenset) -> None:
+        """The router must not use the machines `withdrawn` from now on. Those of `returns` are back, and in slow start from the first time
+        that this was known here."""
         with self.lock:
-            fresh = {machine for machine, number in backs - self.backs}
-            changed = (self.off ^ off) | fresh
+            new_returns = {machine for machine, number in returns - self.returns}
+            changed = (self.withdrawn ^ withdrawn) | new_returns
             if not changed:
                 return
-            self.off, self.backs = off, backs
-            self.returned_at |= dict.fromkeys(fresh, time.time_ns() // MS * MS)
-            rows = tuple(self.as_routed(self.servers[name]) for name in sorted(changed) if name in self.servers)
+            self.withdrawn, self.returns = withdrawn, returns
+            self.returned_at |= dict.fromkeys(new_returns, time.time_ns() // MS * MS)
+            rows = tuple(self.row_for_router(self.servers[name]) for name in sorted(changed) if name in self.servers)
             self.route.gather()
             if rows:
                 self.route.list_told(ListChange(False, rows))
         self.route.handle()
 
-    def set_usage_check(self, doubt: Callable[[str], bool] | None) -> None:
-        """What asks, just before each write, whether a server may be used at this very moment."""
-        self.route.sender.rules.in_doubt = doubt
+    def set_usage_check(self, is_uncertain: Callable[[str], bool] | None) -> None:
+        """Sets the function that is called just before each write, and returns True if the server must not be used at this moment."""
+        self.route.sender.rules.in_doubt = is_uncertain
 
-    def reject_all(self, yes: bool) -> None:
-        """The router serves nothing while it can't know what is out."""
-        if yes == self.shut:
+    def reject_all(self, rejects_all: bool) -> None:
+        """Makes the router reject all txns, or serve again. Used while the list is unknown to it."""
+        if rejects_all == self.rejects_all:
             return
-        self.shut = yes
-        if not self.started:  # the start's own gate is there still
+        self.rejects_all = rejects_all
+        if not self.gate_opened:  # the startup gate is still closed
             return
-        if yes:
+        if rejects_all:
             self.route.post(self.route.shut, Shut(), "no word of the fleet")
         else:
             self.route.post(self.route.open, "word of the fleet")
 
     def startup_gate_opened(self) -> None:
-        """The start's gate has opened. Guards against a router that starts in doubt and serves, for its doubt was older."""
-        self.started = True
-        if self.shut:
+        """The startup gate has opened. Without this, a router to which the list was unknown before the gate opened would serve."""
+        self.gate_opened = True
+        if self.rejects_all:
             self.route.post(self.route.shut, Shut(), "no word of the fleet")
 
     def count_open_hops(self, machines) -> dict[str, int]:
-        """Hops that are open there, and those that name it as their source."""
-        found, servers = {}, self.route.router.fleet.servers
+        """The number of hops that are open at each machine, or that name it as their source."""
+        counts, servers = {}, self.route.router.fleet.servers
         for name in machines:
             server = servers.get(name)
-            found[name] = len(server.out) + len(server.feeds) if server is not None else 0
-        return found
+            counts[name] = len(server.out) + len(server.feeds) if server is not None else 0
+        return counts
 
     def request_loads(self, done: Callable[[dict, tuple], None]) -> None:
-        """Posts a look at the Router, that calls `done(loads, turned)` within it."""
-        self.route.post(self.looked, done)
+        """Asks the router host's thread to measure the loads and to call `done(loads, rejected_rates)` there."""
+        self.route.post(self.measure_loads, done)
 
-    def looked(self, done: Callable) -> None:
+    def measure_loads(self, done: Callable) -> None:
+        """Measures the loads of all servers and the rates of rejected and of all txns. Runs in the router host's thread."""
         fleet: Fleet = self.route.router.fleet
         now = self.route.now()
         loads = {}
-        for at, server in enumerate([*fleet.caches, *fleet.parents][:MAX_LOADS]):
-            parent = at >= len(fleet.caches)
-            how = (
+        for index, server in enumerate([*fleet.caches, *fleet.parents][:MAX_LOADS]):
+            is_parent = index >= len(fleet.caches)
+            condition = (
                 SLOW_START
                 if fleet.is_cold(server, now)
                 else HEALTHY
                 if fleet.healthy(server, now) or now >= server.ejected_until
                 else EJECTED
             )
-            share = fleet.cold[parent][0]
-            fits = server.rating if parent else max(server.fits / share, 0.01)
+            share = fleet.cold[is_parent][0]
+            capacity = server.rating if is_parent else max(server.fits / share, 0.01)
             load = fleet.rate(server, now)
             fills = load * SECOND / max(1.0, self.route.router.mean_work)
-            loads[server.name] = [digits(fits), digits(load), digits(fills), how]
-        counts, (turned, every, at) = self.route.open_txns.counts, self.txns
-        self.txns = (counts["rejected"] + counts["aborted"], sum(counts[word] for word in ("completed", "rejected", "aborted")), now)
-        keeps = math.exp((at - now) / TURNED_SPAN)
-        self.faded = tuple(old * keeps + new - was for old, new, was in zip(self.faded, self.txns, (turned, every)))
-        done(loads, tuple(digits(max(0.0, one) * SECOND / TURNED_SPAN) for one in self.faded))
+            loads[server.name] = [round_figure(capacity), round_figure(load), round_figure(fills), condition]
+        counts, (rejected, finished, counted_at) = self.route.open_txns.counts, self.total_counts
+        self.total_counts = (
+            counts["rejected"] + counts["aborted"],
+            sum(counts[outcome] for outcome in ("completed", "rejected", "aborted")),
+            now,
+        )
+        remaining_part = math.exp((counted_at - now) / REJECTED_DECAY_NS)
+        self.recent_counts = tuple(
+            recent * remaining_part + new - old for recent, new, old in zip(self.recent_counts, self.total_counts, (rejected, finished))
+        )
+        done(loads, tuple(round_figure(max(0.0, count) * SECOND / REJECTED_DECAY_NS) for count in self.recent_counts))
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -41,7 +41,7 @@
 }
 SABOTAGE = {
     "it uses what is out": "from fieldspur.fleet.list_overlay import ServerListOverlay\n"
-    "ServerListOverlay.as_routed = lambda self, row: row\n"
+    "ServerListOverlay.row_for_router = lambda self, row: row\n"
     "ServerListOverlay.set_usage_check = lambda self, doubt: None\n",
     "free too early": "from fieldspur.fleet.coordinator import Coordinator\nCoordinator.members_with_open_hops = lambda *about: []\n",
     "no bounds": "from fieldspur.fleet.planner import MachinePool\nMachinePool.violated_bound = lambda *about: ''\n",
