--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -136,7 +136,7 @@
         now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         if hop.ended:
             return False
-        if now - hop.lane.heard > LOOK_IDLE and hop.lane.over():
+        if now - hop.connection.heard > LOOK_IDLE and hop.connection.over():
             self.take_back(hop, Refusal.CONNECTION_ENDED)
             return False
         if hop.want is not None:
@@ -154,7 +154,7 @@
         with self.lock:
             if hop.ended:
                 return False  # its name was taken out of the lane by who gave it up
-            if hop.ident in self.untold and self.untold[hop.ident].lane is not hop.lane:
+            if hop.ident in self.untold and self.untold[hop.ident].lane is not hop.connection:
                 self.behind[hop.ident] = hop
                 return False
             refusal = self.rules.refusal(hop, now)
@@ -176,16 +176,16 @@
         self.refused.add(reason)
         if log.isEnabledFor(logging.DEBUG):
             log.debug("refused", extra={"kv": {"txn": hop.name, "attempt": hop.number, "server": hop.server, "why": reason.value}})
-        with hop.lane.lock:
-            hop.lane.open.pop(hop.name, None)
+        with hop.connection.lock:
+            hop.connection.open.pop(hop.name, None)
         self.ended(hop, "unsent")
 
     def give_up(self, hop: Hop, now: int) -> bool:
         """Stop waiting; true where the caller is to report the end."""
         if not self.claim(hop):
             return False
-        if hop.lane is not None:
-            hop.lane.drop(hop, now)
+        if hop.connection is not None:
+            hop.connection.drop(hop, now)
         return True
 
     def told(self, hop: Hop) -> None:
@@ -195,7 +195,7 @@
                 del self.untold[hop.ident]
             after = self.behind.pop(hop.ident, None)
         if after is not None:
-            after.lane.again(after)
+            after.connection.again(after)
 
     def ended(self, hop: Hop, result: str) -> None:
         if self.claim(hop):
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -445,8 +445,8 @@
 
     def give_up(self, hop: Hop) -> bool:
         mine = self.sender.give_up(hop, self.clock)
-        if mine and hop.lane is not None:
-            self.outbox.append((hop.lane, None, None))
+        if mine and hop.connection is not None:
+            self.outbox.append((hop.connection, None, None))
         return mine
 
     def go(self, hop: Hop) -> None:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -73,7 +73,7 @@
     started: int = 0  # start of the server's process that it was decided for, as discovery told it; the same of the source's
     source_started: int = 0
     address: tuple[str, int] | None = None  # that its connection leads to
-    lane: ServerConnection | None = None
+    connection: ServerConnection | None = None
     written: int = 0  # when it went out, 0 before
     ended: bool = False
     waited: int = 0  # since when for its client's reader, the last time
@@ -142,7 +142,7 @@
         with self.lock:
             if self.closed or not sure and not self.takes(hop):
                 return False
-            hop.lane, hop.address = self, self.address
+            hop.connection, hop.address = self, self.address
             self.open[hop.name] = hop
             self.queue.append(hop)
             return True
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -213,8 +213,8 @@
     cache.go_on.set()
     until(lambda: len(cache.wants) >= 1 + len(begun))
     until(lambda: lane.closed or not lane.draining and not lane.queue)
-    if late.lane is not None:
-        late.lane.pump()
+    if late.connection is not None:
+        late.connection.pump()
     time.sleep(0.05)
     assert [w["id"] for w in cache.wants] == ["%016x" % 1] + [one.name for one in begun]
     assert not late.written and (late, "unsent") in [about[:2] for about in send.route.posted]
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -348,7 +348,7 @@
             return True
 
     def hop_out(hop):
-        hop.lane, hop.written = lanes, clock()
+        hop.connection, hop.written = lanes, clock()
         hops.setdefault(hop.ident, []).append(hop)
         return lanes
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -538,7 +538,7 @@
     hop = probe(send)
     until(lambda: hop.written and quiet.conns)
     assert send.give_up(hop, clock()) and not send.give_up(hop, clock())
-    lane = hop.lane
+    lane = hop.connection
     quiet.reset()
     until(lambda: lane.closed)
     send.ended(hop, "broken")
@@ -551,15 +551,15 @@
     send = sender(quiet.address, lanes=8)
     calm = [probe(send, f"calm-{n}") for n in range(40)]
     until(lambda: all(hop.written for hop in calm))
-    assert len({hop.lane for hop in calm}) == 1
-    calm[0].lane.shut()
+    assert len({hop.connection for hop in calm}) == 1
+    calm[0].connection.shut()
     until(lambda: len(send.route.posted) == 40)
     send.route.posted.clear()
     hops = [probe(send, f"busy-{n}") for n in range(40)]
     until(lambda: all(hop.written for hop in hops))
-    lanes = {hop.lane for hop in hops}
+    lanes = {hop.connection for hop in hops}
     assert max(len(lane.open) for lane in lanes) == 10 and len(lanes) == 4  # the other half is for other servers
-    hops[0].lane.shut()
+    hops[0].connection.shut()
     until(lambda: len(send.route.posted) == 10)
     assert {about[1] for about in send.route.posted} == {"broken"}
 
@@ -580,7 +580,7 @@
     send.give_up(hop, hop.written + 6_000_000_000)
     again = probe(send, "busy-2")
     until(lambda: again.written)
-    assert again.lane is not hop.lane
+    assert again.connection is not hop.connection
 
 
 def test_answers_that_no_memory_is_left_for_fail_and_say_so():
