--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -202,7 +202,7 @@
             self.report(hop, result)
 
     def report(self, hop: Hop, result: str, reply: resp.Reply | None = None, at: int = 0) -> None:
-        self.route.post(self.route.hop_ended, hop, result, (at or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS) - hop.asked, reply)
+        self.route.post(self.route.hop_ended, hop, result, (at or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS) - hop.decided_at, reply)
 
     def answered(self, hop: Hop, reply: resp.Reply, at: int, cork: list | None = None) -> None:
         if not self.claim(hop):
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -65,7 +65,7 @@
     server: str
     source: str | None
     want: resp.Want | None
-    asked: int
+    decided_at: int
     cut_at: int = 0
     group: int = -1  # of the object, for purges
     purges: int = 0  # how many purges were known when it was decided
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -130,7 +130,7 @@
             return Refusal.SERVER_MOVED
         if endpoint.started != attempt.started:
             return Refusal.SERVER_RESTARTED
-        if now - attempt.asked > self.dial_limit:
+        if now - attempt.decided_at > self.dial_limit:
             return Refusal.WAITED_TOO_LONG
         if now > attempt.go_by:
             return Refusal.TOO_LATE_TO_GO
