--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -159,7 +159,7 @@
                 return False
             refusal = self.rules.refusal(hop, now)
             if refusal is None:
-                hop.written = now
+                hop.written_at = now
                 if hop.want is not None:
                     if hop.cut_at:  # what its client has left now, not when this was decided
                         hop.want.limit_ms = (hop.cut_at - now + MS - 1) // MS
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -320,7 +320,7 @@
                     "result": result,
                     "note": reply.note if reply else 0,
                     "took": took // MS,
-                    "wrote": (hop.written - hop.decided_at) // MS if hop.written else -1,
+                    "wrote": (hop.written_at - hop.decided_at) // MS if hop.written_at else -1,
                 }
             },
         )
@@ -329,7 +329,7 @@
         """A timer, not a call of the Router's: its end is told at once, before what else waits here."""
         hop = self.hops.get((ident, number))
         if hop is not None and self.give_up(hop):
-            self.hop_ended(hop, "timed_out" if hop.written else "unsent", self.clock - hop.decided_at, None)
+            self.hop_ended(hop, "timed_out" if hop.written_at else "unsent", self.clock - hop.decided_at, None)
 
     # The board's word goes to Send at once, by the thread that read it, for no hop may be written on older word. The
     # Router hears of it in its turn: before any hop that Send turns away for it, and after Send knows where new servers are.
@@ -441,7 +441,7 @@
     def cancel(self, ident, number) -> None:
         hop = self.hops.get((ident, number))
         if hop is not None and self.give_up(hop):
-            self.sender.report(hop, "cancelled" if hop.written else "unsent")
+            self.sender.report(hop, "cancelled" if hop.written_at else "unsent")
 
     def give_up(self, hop: Hop) -> bool:
         mine = self.sender.give_up(hop, self.clock)
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -74,7 +74,7 @@
     source_started: int = 0
     address: tuple[str, int] | None = None  # that its connection leads to
     connection: ServerConnection | None = None
-    written: int = 0  # when it went out, 0 before
+    written_at: int = 0  # when it went out, 0 before
     ended: bool = False
     waited: int = 0  # since when for its client's reader, the last time
     behind: int = 0  # ... until that has worked off so many bytes of all that the client sent
@@ -156,10 +156,10 @@
         """A hop was given up; a connection on which nothing came since it was written is not used again."""
         with self.lock:
             self.open.pop(hop.name, None)
-            if not hop.written or self.closed:
+            if not hop.written_at or self.closed:
                 return
             self.use_up(hop, -1)
-            if self.heard < hop.written and now - hop.written > self.send.site.connect_timeout:
+            if self.heard < hop.written_at and now - hop.written_at > self.send.site.connect_timeout:
                 self.retired = True
             if hop.want is not None:
                 with self.send.lock:  # taken inside a connection's lock, never round it
@@ -212,7 +212,7 @@
         elsewhere: past the mark the words lie right behind that hop."""
         while self.words:
             self.saying.append(self.words.popleft())
-        data = b"".join([resp.never_mind(hop.name) for hop in self.saying if hop.written])  # others never went out
+        data = b"".join([resp.never_mind(hop.name) for hop in self.saying if hop.written_at])  # others never went out
         left = write_nonblocking(self.sock, (data,)) if data else ()
         if left:
             self.past = True
@@ -249,7 +249,7 @@
             try:
                 left = write_nonblocking(self.sock, data)
             except OSError:
-                hop.written = 0
+                hop.written_at = 0
                 raise
             return self.put_back([(hop, data)], left) if left else ((), None, False)
         messages = []
@@ -266,7 +266,7 @@
             left = write_nonblocking(self.sock, data)
         except OSError:
             for hop, _ in messages:
-                hop.written = 0  # nothing of this write went out: it never ran
+                hop.written_at = 0  # nothing of this write went out: it never ran
             raise
         return self.put_back(messages, left) if left else ((), None, False)
 
@@ -286,7 +286,7 @@
             mine = sum(map(len, pieces))
             if size < mine:
                 return self.rest([b"".join(pieces)[mine - size :]] if size else [], hop)
-            hop.written = 0
+            hop.written_at = 0
             self.queue.appendleft(hop)
             size -= mine
         return [], None, True
@@ -302,7 +302,7 @@
                 keep_little(self.sock)
             except OSError:
                 if cut is not None:
-                    cut.written = 0  # not whole: it never ran
+                    cut.written_at = 0  # not whole: it never ran
                 raise
         if left:
             return left, cut, True
@@ -353,7 +353,7 @@
     def broken_off(self) -> None:
         """What was cut off in its middle is not whole at the server: it never ran."""
         if self.cut is not None:
-            self.cut.written = 0
+            self.cut.written_at = 0
         self.shut()
 
     def finish(self, left: list, go_by: int) -> None:
@@ -510,13 +510,13 @@
                     "state": "ended",
                     "why": why,
                     "open": len(hops),
-                    "written": sum(hop.written > 0 for hop in hops),
+                    "written": sum(hop.written_at > 0 for hop in hops),
                     "address": "%s:%d" % self.address,
                     "came_up": int(self.ready),
                 }
             },
         )
-        if any(hop.written for hop in hops):
+        if any(hop.written_at for hop in hops):
             self.send.broke = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         for hop in hops:
-            self.send.ended(hop, "broken" if hop.written else unwritten)
+            self.send.ended(hop, "broken" if hop.written_at else unwritten)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -101,7 +101,7 @@
     hop = taken(send, ClientWriter(here, encode, send.answer_sender))
     send.open_txns.withdraw(5)
     send.hop(hop).pump()
-    assert [about[:2] for about in until(lambda: send.route.posted)] == [(hop, "unsent")] and not hop.written and not cache.wants
+    assert [about[:2] for about in until(lambda: send.route.posted)] == [(hop, "unsent")] and not hop.written_at and not cache.wants
     here.close(), there.close()
 
 
@@ -122,7 +122,7 @@
     lane = send.hop(hop)
     lane.pump()
     until(lambda: any(about[:2] == (hop, "unsent") for about in send.route.posted))
-    assert not hop.written and not cache.wants and 5 not in send.open_txns.by_id
+    assert not hop.written_at and not cache.wants and 5 not in send.open_txns.by_id
     here.close(), there.close()
 
 
@@ -136,7 +136,7 @@
     lane = send.hop(hop)
     until(lambda: lane.ready)
     lane.pump()
-    assert not hop.written and not send.route.posted and lane.open
+    assert not hop.written_at and not send.route.posted and lane.open
     client_writer.release_waiting()
     assert client_writer.waiting_hops == [hop]  # its reader has worked off something, but not read on
     client_writer.processed_bytes += len(here.recv(100))  # its reader has its turn
@@ -158,15 +158,15 @@
     assert send.hop(other) is lane
     lane.pump()
     until(lambda: cache.wants)
-    assert other.written and not hop.written
+    assert other.written_at and not hop.written_at
     there.sendall(b"and on")
     client_writer.processed_bytes += len(here.recv(4))
     client_writer.release_waiting()
-    assert not hop.written
+    assert not hop.written_at
     client_writer.processed_bytes += len(here.recv(9))  # all that lay there at the look; the rest came since
     client_writer.release_waiting()
     until(lambda: len(cache.wants) == 2)
-    assert hop.written
+    assert hop.written_at
     here.close(), there.close()
 
 
@@ -470,7 +470,7 @@
     lane = send.hop(hop)
     until(lambda: lane.ready)
     lane.pump()
-    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not hop.written and not cache.wants
+    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not hop.written_at and not cache.wants
 
 
 def test_a_client_that_has_gone_leaves_no_cycle_behind():
@@ -642,7 +642,7 @@
         time.sleep(0.005)
     dial.set()
     assert until(lambda: send.route.posted)[0][:2] == (hop, "completed" if in_time else "unsent")
-    assert bool(hop.written) == in_time == bool(cache.wants)
+    assert bool(hop.written_at) == in_time == bool(cache.wants)
 
 
 def test_a_repeat_that_a_server_has_begun_to_read_is_broken_off_before_the_first_try_is_forgotten():
@@ -680,7 +680,7 @@
     first.heard = clock() - 50 * MS
     assert send.hop(hop) is first
     first.pump()
-    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not hop.written
+    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not hop.written_at
     again = taken(send, stays(send), ident=6)
     second = send.hop(again)
     assert second is not first
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -164,12 +164,12 @@
     until(lambda: len(client_writer.sock.recv(100, socket.MSG_PEEK)) == 13)
     client_writer.processed_bytes += len(client_writer.sock.recv(7))
     client_writer.release_waiting()
-    assert client_writer.waiting_hops == [attempt] and not attempt.written
+    assert client_writer.waiting_hops == [attempt] and not attempt.written_at
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
     send.open_txns.by_id.pop(6)
     send.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
     client_writer.release_waiting()
-    assert not attempt.written and not cache.wants and lane.ready
+    assert not attempt.written_at and not cache.wants and lane.ready
 
 
 def test_a_dial_that_fails_on_this_machine_for_a_moment_is_tried_again_and_speaks_against_no_server(monkeypatch):
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -124,15 +124,15 @@
     send = sender(cache.address, c1=other.address)
     lane, hops = fill(send, cache)
     cut = lane.cut
-    assert lane.left and cut.written
-    free = next(one for one in hops if not one.written)  # never went out: nobody need be told
+    assert lane.left and cut.written_at
+    free = next(one for one in hops if not one.written_at)  # never went out: nobody need be told
     for one in (cut, free):
         assert send.give_up(one, clock())
     lane.pump()
     for one in (free, cut):
         go(send, next_of(one))
     until(lambda: other.wants)
-    assert [want["id"] for want in other.wants] == [free.name] and not send.behind[cut.ident].written
+    assert [want["id"] for want in other.wants] == [free.name] and not send.behind[cut.ident].written_at
     if then == "ends":
         lane.shut()
     cache.go_on.set()
@@ -173,7 +173,7 @@
         if lane.draining:
             break
         go(send, one)
-    last = [one for one in hops if one.written][-1]
+    last = [one for one in hops if one.written_at][-1]
     assert lane.draining and not lane.left
     assert send.give_up(last, clock())
     lane.pump()
@@ -202,7 +202,7 @@
     send = sender(cache.address)
     send.listed("p0", ("127.0.0.1", 1), "up")
     lane, hops = fill(send, cache, source="p0")
-    begun = [one for one in hops if one.written]
+    begun = [one for one in hops if one.written_at]
     assert 0 < len(begun) < len(hops) - 5
     CHANGES[change](send)
     send.sift()
@@ -217,7 +217,7 @@
         late.connection.pump()
     time.sleep(0.05)
     assert [w["id"] for w in cache.wants] == ["%016x" % 1] + [one.name for one in begun]
-    assert not late.written and (late, "unsent") in [about[:2] for about in send.route.posted]
+    assert not late.written_at and (late, "unsent") in [about[:2] for about in send.route.posted]
 
 
 def test_a_purge_does_not_take_back_what_was_decided_with_it_nor_another_group():
@@ -230,17 +230,17 @@
     send.purge_told(None, 7)
     cache.go_on.set()
     until(lambda: {"%016x" % 500, "%016x" % 501} <= {w["id"] for w in cache.wants})
-    assert knows.written and other.written
+    assert knows.written_at and other.written_at
 
 
 def test_what_is_given_up_before_a_byte_of_it_went_out_is_never_named_to_the_server():
     cache = Stalled()
     send = sender(cache.address)
     lane, hops = fill(send, cache)
-    waits = [one for one in hops if not one.written]
+    waits = [one for one in hops if not one.written_at]
     for one in waits:
         assert send.give_up(one, clock())
-    begun = [one for one in hops if one.written]
+    begun = [one for one in hops if one.written_at]
     assert send.give_up(begun[0], clock())
     cache.go_on.set()
     until(lambda: cache.given_up)
@@ -268,7 +268,7 @@
     left, cut, full = lane.write()
     whole = sum(sum(sizes[: n + 1]) <= taken for n in range(3))
     begun = sum(sum(sizes[:n]) < taken for n in range(3))
-    assert full and [bool(one.written) for one in hops] == [n < begun for n in range(3)]
+    assert full and [bool(one.written_at) for one in hops] == [n < begun for n in range(3)]
     assert list(lane.queue) == hops[begun:]
     assert sum(map(len, left)) == sum(sizes[:begun]) - taken and cut is (hops[whole] if begun > whole else None)
 
@@ -283,11 +283,11 @@
     cache.go_on.clear()
     large = hop(2, body=b"w" * 200_000)
     assert go(send, large) is lane
-    assert large.written and not lane.draining and not lane.queue
+    assert large.written_at and not lane.draining and not lane.queue
     after = hop(3)
     assert go(send, after) is lane
     until(lambda: lane.draining)
-    assert not after.written and list(lane.queue) == [after]
+    assert not after.written_at and list(lane.queue) == [after]
     send.listed("c0", send.servers["c0"].address, "draining")
     send.sift()
     assert send.route.posted[-1][:2] == (after, "unsent")
@@ -350,7 +350,7 @@
         else:
             route.purge_told(Purge(None, 7, time.time_ns()))
         lane.pump()
-        assert not waiting.written and waiting.ended
+        assert not waiting.written_at and waiting.ended
         order = [getattr(event[0], "__name__", "") for event in route.queue]
         assert order[-2:] == ["list_changed" if what == "list" else "purged", "hop_ended"]  # it decides anew after it
 
@@ -372,10 +372,10 @@
         writer = threading.Thread(target=go, args=(send, one))
         writer.start()
         time.sleep(0.02)
-        assert not one.written
+        assert not one.written_at
     writer.join(5)
     until(lambda: one.ended)
-    assert not one.written and not cache.wants
+    assert not one.written_at and not cache.wants
 
 
 def test_a_board_that_says_nothing_holds_up_one_write_for_a_moment_and_then_none():
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -64,7 +64,7 @@
         lane.pump()
     assert [about[:2] for about in until(lambda: send.route.posted)] == [(attempt, "unsent")]
     removal.join()
-    assert not attempt.written and not cache.wants
+    assert not attempt.written_at and not cache.wants
 
 
 def test_servers_that_crash_together_and_are_removed_and_listed_again_end_no_router(tmp_path):
@@ -159,7 +159,7 @@
     send.listed("c0", (host, int(port)), "up")
     dialled.set()
     assert [about[:2] for about in until(lambda: send.route.posted)] == [(attempt, "unsent")]
-    assert not attempt.written and not old.wants
+    assert not attempt.written_at and not old.wants
 
 
 def dials_wait(monkeypatch):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -187,7 +187,7 @@
     send = sender(quiet.address)
     first = Hop(1, 0, "a" * 16, "c0", None, want("a" * 16), clock())
     lane = go(send, first)
-    until(lambda: lane.ready and first.written)
+    until(lambda: lane.ready and first.written_at)
     lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     bodies = [Hop(n, 0, f"{n:016x}", "c0", None, want(f"{n:016x}", b"w" * 48_000), clock()) for n in range(2, 150)]
     for hop in bodies:
@@ -207,7 +207,7 @@
     send = sender(cache.address)
     hop = Hop(1, 0, "a" * 16, "c0", None, want("a" * 16), clock())
     lane = go(send, hop)
-    until(lambda: hop.written and cache.wants)
+    until(lambda: hop.written_at and cache.wants)
     other = Hop(2, 0, "b" * 16, "c0", None, want("b" * 16), clock())
     assert send.hop(other) is lane
     send.listed("c0", ("", 0), "gone")
@@ -348,7 +348,7 @@
             return True
 
     def hop_out(hop):
-        hop.connection, hop.written = lanes, clock()
+        hop.connection, hop.written_at = lanes, clock()
         hops.setdefault(hop.ident, []).append(hop)
         return lanes
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -536,7 +536,7 @@
     quiet = Listener()
     send = sender(quiet.address)
     hop = probe(send)
-    until(lambda: hop.written and quiet.conns)
+    until(lambda: hop.written_at and quiet.conns)
     assert send.give_up(hop, clock()) and not send.give_up(hop, clock())
     lane = hop.connection
     quiet.reset()
@@ -550,13 +550,13 @@
     quiet = Listener()
     send = sender(quiet.address, lanes=8)
     calm = [probe(send, f"calm-{n}") for n in range(40)]
-    until(lambda: all(hop.written for hop in calm))
+    until(lambda: all(hop.written_at for hop in calm))
     assert len({hop.connection for hop in calm}) == 1
     calm[0].connection.shut()
     until(lambda: len(send.route.posted) == 40)
     send.route.posted.clear()
     hops = [probe(send, f"busy-{n}") for n in range(40)]
-    until(lambda: all(hop.written for hop in hops))
+    until(lambda: all(hop.written_at for hop in hops))
     lanes = {hop.connection for hop in hops}
     assert max(len(lane.open) for lane in lanes) == 10 and len(lanes) == 4  # the other half is for other servers
     hops[0].connection.shut()
@@ -576,10 +576,10 @@
     quiet = Listener()
     send = sender(quiet.address)
     hop = probe(send)
-    until(lambda: hop.written)
-    send.give_up(hop, hop.written + 6_000_000_000)
+    until(lambda: hop.written_at)
+    send.give_up(hop, hop.written_at + 6_000_000_000)
     again = probe(send, "busy-2")
-    until(lambda: again.written)
+    until(lambda: again.written_at)
     assert again.connection is not hop.connection
 
 
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -145,7 +145,7 @@
     second = replace(first, number=1)
     lane = send.hop(second)
     lane.pump()
-    until(lambda: second.written)
+    until(lambda: second.written_at)
     threads = []
 
     class Between(dict):
