--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -502,7 +502,7 @@
                 None,
                 self.clock,
                 self.clock + self.site.connect_timeout,
-                started=self.starts.get(server, UNKNOWN)[0],
+                server_start=self.starts.get(server, UNKNOWN)[0],
             )
         )
 
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -70,8 +70,8 @@
     group: int = -1  # of the object, for purges
     purges: int = 0  # how many purges were known when it was decided
     go_by: int = NEVER  # when it has to have gone out
-    started: int = 0  # start of the server's process that it was decided for, as discovery told it; the same of the source's
-    source_started: int = 0
+    server_start: int = 0  # start of the server's process that it was decided for, as discovery told it; the same of the source's
+    source_start: int = 0
     address: tuple[str, int] | None = None  # that its connection leads to
     connection: ServerConnection | None = None
     written_at: int = 0  # when it went out, 0 before
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -128,7 +128,7 @@
             return Refusal.SERVER_NOT_UP
         if endpoint.address != attempt.address:
             return Refusal.SERVER_MOVED
-        if endpoint.started != attempt.started:
+        if endpoint.started != attempt.server_start:
             return Refusal.SERVER_RESTARTED
         if now - attempt.decided_at > self.dial_limit:
             return Refusal.WAITED_TOO_LONG
@@ -141,7 +141,7 @@
             endpoint = self.endpoints.get(source)
             if endpoint is None or endpoint.state != UP:
                 return Refusal.SOURCE_NOT_UP
-            if endpoint.started != attempt.source_started:
+            if endpoint.started != attempt.source_start:
                 return Refusal.SOURCE_RESTARTED
         if self.in_doubt is not None and (self.in_doubt(attempt.server) or source is not None and self.in_doubt(source)):
             return Refusal.PLACEMENT_IN_DOUBT
