--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -89,9 +89,9 @@
             state = self.check_socket()
             if state == UNREAD_BYTES:
                 now = time.monotonic_ns()
-                if hop.waited and now - hop.waited <= READER_TURN:
+                if hop.reader_wait_began and now - hop.reader_wait_began <= READER_TURN:
                     return ""
-                hop.waited, hop.behind = now, self.client_sent
+                hop.reader_wait_began, hop.reader_wait_bytes = now, self.client_sent
                 self.waiting_hops.append(hop)
             return state
 
@@ -102,9 +102,9 @@
         socket then arrived after its read, and it has not read them yet."""
         with self.lock:
             processed = NEVER if self.ended else self.processed_bytes
-            released_hops = [hop for hop in self.waiting_hops if hop.behind <= processed]
+            released_hops = [hop for hop in self.waiting_hops if hop.reader_wait_bytes <= processed]
             released_answers = [answer for answer in self.late_answers if answer.wait_until <= processed]
-            self.waiting_hops = [hop for hop in self.waiting_hops if hop.behind > processed]
+            self.waiting_hops = [hop for hop in self.waiting_hops if hop.reader_wait_bytes > processed]
             self.late_answers = [answer for answer in self.late_answers if answer.wait_until > processed]
             self.release_needed = bool(self.waiting_hops or self.late_answers)
             for answer in released_answers:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -76,8 +76,8 @@
     connection: ServerConnection | None = None
     written_at: int = 0  # when it went out, 0 before
     ended: bool = False
-    waited: int = 0  # since when for its client's reader, the last time
-    behind: int = 0  # ... until that has worked off so many bytes of all that the client sent
+    reader_wait_began: int = 0  # since when for its client's reader, the last time
+    reader_wait_bytes: int = 0  # ... until that has worked off so many bytes of all that the client sent
 
 
 def keep_little(sock: socket.socket, unsent: int = UNSENT) -> None:
