--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -56,7 +56,7 @@
         for lane in lanes:
             lane.look()
 
-    def hop(self, hop: Hop) -> ServerConnection | None:
+    def enqueue(self, hop: Hop) -> ServerConnection | None:
         """The hop waits in the lane given back, to be pumped; its end is reported later, whatever happens."""
         lanes = self.lanes.get(hop.server, ())[:2]  # a copy: another thread may take one out
         if len(lanes) == 1 and not self.broke and hop.server in self.servers and lanes[0].put(hop, sure=False):
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -453,7 +453,7 @@
         key = hop.ident, hop.number
         self.hops[key] = hop
         self.at(hop.cut_at, key)
-        lane = self.sender.hop(hop)
+        lane = self.sender.enqueue(hop)
         if lane is not None:
             self.outbox.append((lane, None, None))
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -100,7 +100,7 @@
     send = sender(cache.address, open_txns=OpenTxns())
     hop = taken(send, ClientWriter(here, encode, send.answer_sender))
     send.open_txns.withdraw(5)
-    send.hop(hop).pump()
+    send.enqueue(hop).pump()
     assert [about[:2] for about in until(lambda: send.route.posted)] == [(hop, "unsent")] and not hop.written_at and not cache.wants
     here.close(), there.close()
 
@@ -119,7 +119,7 @@
     poll = select.poll()
     poll.register(here, select.POLLIN)
     assert poll.poll(2000)
-    lane = send.hop(hop)
+    lane = send.enqueue(hop)
     lane.pump()
     until(lambda: any(about[:2] == (hop, "unsent") for about in send.route.posted))
     assert not hop.written_at and not cache.wants and 5 not in send.open_txns.by_id
@@ -133,7 +133,7 @@
     client_writer = ClientWriter(here, encode, send.answer_sender)
     hop = taken(send, client_writer, before_ms=50)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
-    lane = send.hop(hop)
+    lane = send.enqueue(hop)
     until(lambda: lane.ready)
     lane.pump()
     assert not hop.written_at and not send.route.posted and lane.open
@@ -153,9 +153,9 @@
     client_writer = ClientWriter(here, encode, send.answer_sender)
     hop, other = taken(send, client_writer, before_ms=50), taken(send, stays(send), ident=6, before_ms=50)
     there.sendall(b"more and more")
-    lane = send.hop(hop)
+    lane = send.enqueue(hop)
     until(lambda: lane.ready)
-    assert send.hop(other) is lane
+    assert send.enqueue(other) is lane
     lane.pump()
     until(lambda: cache.wants)
     assert other.written_at and not hop.written_at
@@ -467,7 +467,7 @@
     client_writer = stays(send)
     hop = taken(send, client_writer, before_ms=50)
     monkeypatch.setattr(client_writer, "check_client", lambda hop: (send.open_txns.withdraw(5, client_left=True), CLIENT_LEFT)[1])
-    lane = send.hop(hop)
+    lane = send.enqueue(hop)
     until(lambda: lane.ready)
     lane.pump()
     assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not hop.written_at and not cache.wants
@@ -637,7 +637,7 @@
     cache = Cache()
     send = sender(cache.address, open_txns=OpenTxns())
     hop = keyed(send, clock() + (20_000 if in_time else 30) * MS)
-    send.hop(hop).pump()
+    send.enqueue(hop).pump()
     while not in_time and clock() <= hop.go_by:
         time.sleep(0.005)
     dial.set()
@@ -649,13 +649,13 @@
     """The server reads half of it, and the rest later: it must not have it whole by then."""
     cache = Stalled()
     send = sender(cache.address, open_txns=OpenTxns())
-    lane = send.hop(keyed(send, clock() + 20_000 * MS))
+    lane = send.enqueue(keyed(send, clock() + 20_000 * MS))
     lane.pump()
     until(lambda: send.route.posted)
     cache.go_on.clear()
     lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     hop = keyed(send, clock() + 300 * MS, 6, b"w" * 1_000_000)
-    assert send.hop(hop) is lane
+    assert send.enqueue(hop) is lane
     lane.pump()
     until(lambda: lane.draining)
     until(lambda: len(send.route.posted) == 2, limit=5)
@@ -678,11 +678,11 @@
     cache.reset() if how == "resets" else cache.conns[0].shutdown(socket.SHUT_WR)
     until(lambda: receive_poll(first.sock).poll(0))
     first.heard = clock() - 50 * MS
-    assert send.hop(hop) is first
+    assert send.enqueue(hop) is first
     first.pump()
     assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not hop.written_at
     again = taken(send, stays(send), ident=6)
-    second = send.hop(again)
+    second = send.enqueue(again)
     assert second is not first
     until(lambda: second.ready)
     second.pump()
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -209,7 +209,7 @@
     ends = {about[0]: about[1] for about in send.route.posted[1:]}
     assert ends == {one: "unsent" for one in hops if one not in begun}
     late = hop(900, source="p0")  # decided before the change, put in after it
-    send.hop(late)
+    send.enqueue(late)
     cache.go_on.set()
     until(lambda: len(cache.wants) >= 1 + len(begun))
     until(lambda: lane.closed or not lane.draining and not lane.queue)
@@ -226,7 +226,7 @@
     lane, _ = fill(send, cache, count=30)
     knows, other = hop(500, purges=1), hop(501, group=8)
     other.want.obj = "1" * 16
-    send.hop(knows), send.hop(other)
+    send.enqueue(knows), send.enqueue(other)
     send.purge_told(None, 7)
     cache.go_on.set()
     until(lambda: {"%016x" % 500, "%016x" % 501} <= {w["id"] for w in cache.wants})
@@ -264,7 +264,7 @@
     monkeypatch.setattr("fieldspur.net.server_connection.write_nonblocking", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
     lane.draining = True  # nobody else pumps
     for one in hops:
-        send.hop(one)
+        send.enqueue(one)
     left, cut, full = lane.write()
     whole = sum(sum(sizes[: n + 1]) <= taken for n in range(3))
     begun = sum(sum(sizes[:n]) < taken for n in range(3))
@@ -344,7 +344,7 @@
         for _ in range(MOST_QUEUED - 12):
             route.post(lambda: None)
         waiting = hop(2)
-        assert send.hop(waiting) is lane
+        assert send.enqueue(waiting) is lane
         if what == "list":
             route.list_told(ListChange(False, (row(cache, "draining"),)))
         else:
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -59,7 +59,7 @@
         until(lambda: "c0" not in send.servers)
 
     send.lock = LetsIn(send.lock, removed)
-    lane = send.hop(attempt)
+    lane = send.enqueue(attempt)
     if lane is not None:
         lane.pump()
     assert [about[:2] for about in until(lambda: send.route.posted)] == [(attempt, "unsent")]
@@ -140,11 +140,11 @@
     """A server that is listed at another address: its old connection leads to a process that was removed, or to another server's."""
     old, new = Cache(lambda want: None), Cache(lambda want: None)
     send = sender(old.address)
-    send.hop(taken(send, stays(send), ident=5)).pump()
+    send.enqueue(taken(send, stays(send), ident=5)).pump()
     until(lambda: old.wants)
     host, port = new.address.split(":")
     send.listed("c0", (host, int(port)), "up")
-    send.hop(taken(send, stays(send), ident=6)).pump()
+    send.enqueue(taken(send, stays(send), ident=6)).pump()
     until(lambda: new.wants)
     assert len(old.wants) == len(new.wants) == 1
 
@@ -154,7 +154,7 @@
     send = sender(old.address)
     attempt = taken(send, stays(send))
     dialled = dials_wait(monkeypatch)
-    send.hop(attempt)
+    send.enqueue(attempt)
     host, port = new.address.split(":")
     send.listed("c0", (host, int(port)), "up")
     dialled.set()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -152,7 +152,7 @@
 
 
 def go(send, hop):
-    lane = send.hop(hop)
+    lane = send.enqueue(hop)
     lane.pump()
     return lane
 
@@ -209,7 +209,7 @@
     lane = go(send, hop)
     until(lambda: hop.written_at and cache.wants)
     other = Hop(2, 0, "b" * 16, "c0", None, want("b" * 16), clock())
-    assert send.hop(other) is lane
+    assert send.enqueue(other) is lane
     send.listed("c0", ("", 0), "gone")
     lane.pump()
     assert [about[:2] for about in send.route.posted] == [(other, "unsent")] and "b" * 16 not in lane.open
@@ -352,7 +352,7 @@
         hops.setdefault(hop.ident, []).append(hop)
         return lanes
 
-    send.hop = hop_out
+    send.enqueue = hop_out
     client_writer, streams, withdrawn = Taking(), {}, set()
     rows = tuple(ListedServer(f"c{n}", ("127.0.0.1", 1), "east", "std", 0, "up", 500.0, 0) for n in range(3))
     route.list_told(ListChange(True, rows), now=True)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -518,7 +518,7 @@
 
 
 def go(send, hop):
-    lane = send.hop(hop)
+    lane = send.enqueue(hop)
     if lane is not None:
         lane.pump()
     return hop
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -39,11 +39,11 @@
     send = sender(cache.address)
     attempt = taken(send, stays(send), ident=5)
     dialled = dials_wait(monkeypatch)
-    lane = send.hop(attempt)
+    lane = send.enqueue(attempt)
     lane.queue = Emptied(lane.queue)
     dialled.set()
     until(lambda: lane.ready and lane.queue.emptied)
-    send.hop(taken(send, stays(send), ident=6)).pump()
+    send.enqueue(taken(send, stays(send), ident=6)).pump()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
     assert not failed and contained_errors.log_fields().get("contained_write") == before  # contained is not mended
 
@@ -53,7 +53,7 @@
     cache = Stalled()
     send = sender(cache.address)
     probe = Hop(0, 1, "busy-1", "c0", None, None, clock())
-    lane = send.hop(probe)
+    lane = send.enqueue(probe)
     lane.pump()  # as who hands over an attempt does: the connection may have come up before that waited in it
     until(lambda: lane.ready)
     until(lambda: not lane.queue)
@@ -96,7 +96,7 @@
         attempt.cut_at = clock() + 3000 * MS
         client_writer = send.open_txns.by_id[attempt.ident].client_writer
         monkeypatch.setattr(client_writer, "check_client", slow_look(client_writer.check_client, order))
-        lane = send.hop(attempt)
+        lane = send.enqueue(attempt)
     send.looked, send.board = 0, SimpleNamespace(caught_up=lambda: order.append("waits"))
     dialled.set()
     until(lambda: len(cache.wants) == 2)
@@ -143,7 +143,7 @@
     send = sender(Cache(lambda want: None).address)
     first = taken(send, stays(send))
     second = replace(first, number=1)
-    lane = send.hop(second)
+    lane = send.enqueue(second)
     lane.pump()
     until(lambda: second.written_at)
     threads = []
