--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -41,7 +41,7 @@
         self.untold: dict[int, Hop] = {}
         self.behind: dict[int, Hop] = {}
 
-    def listed(self, name: str, address: tuple[str, int], state: str, started: int = 0) -> None:
+    def update_endpoint(self, name: str, address: tuple[str, int], state: str, started: int = 0) -> None:
         """Discovery's word, by its thread. The endpoints change under the lock under which attempts get their connections: a connection
         is either made before and looked at here, or is not made."""
         with self.lock:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -343,17 +343,17 @@
                 log.error("unlisted", extra={"kv": {"server": s.name, "why": "unknown zone or kind"}})
         for s in rows:
             if s.state == "up":
-                self.sender.listed(s.name, s.address, s.state, s.started)
+                self.sender.update_endpoint(s.name, s.address, s.state, s.started)
         if now:
             self.list_changed(change.complete, rows, live=False)
         else:
             self.queue.append((self.list_changed, (change.complete, rows), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         for s in rows:
             if s.state != "up":
-                self.sender.listed(s.name, s.address, s.state, s.started)
+                self.sender.update_endpoint(s.name, s.address, s.state, s.started)
         if change.complete:
             for name in set(self.sender.servers) - {s.name for s in change.servers}:
-                self.sender.listed(name, ("", 0), "gone")
+                self.sender.update_endpoint(name, ("", 0), "gone")
         self.sender.sift()
         if not self.mine.busy:
             self.work()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -651,7 +651,7 @@
     send.route = Events()
     for name, where in {"c0": address, **others}.items():
         host, port = where.split(":")
-        send.listed(name, (host, int(port)), state if name == "c0" else "up")
+        send.update_endpoint(name, (host, int(port)), state if name == "c0" else "up")
     return send
 
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -187,9 +187,9 @@
 
 
 CHANGES = {
-    "draining": lambda send: send.listed("c0", send.servers["c0"].address, "draining"),
-    "gone": lambda send: send.listed("c0", ("", 0), "gone"),
-    "source": lambda send: send.listed("p0", ("127.0.0.1", 1), "draining"),
+    "draining": lambda send: send.update_endpoint("c0", send.servers["c0"].address, "draining"),
+    "gone": lambda send: send.update_endpoint("c0", ("", 0), "gone"),
+    "source": lambda send: send.update_endpoint("p0", ("127.0.0.1", 1), "draining"),
     "purge of the group": lambda send: send.purge_told(None, 7),
     "purge of the object": lambda send: send.purge_told("0" * 16, -1),
 }
@@ -200,7 +200,7 @@
     """The server reads on later: it gets what had begun, whole, and nothing else; the rest never ran."""
     cache = Stalled()
     send = sender(cache.address)
-    send.listed("p0", ("127.0.0.1", 1), "up")
+    send.update_endpoint("p0", ("127.0.0.1", 1), "up")
     lane, hops = fill(send, cache, source="p0")
     begun = [one for one in hops if one.written_at]
     assert 0 < len(begun) < len(hops) - 5
@@ -288,7 +288,7 @@
     assert go(send, after) is lane
     until(lambda: lane.draining)
     assert not after.written_at and list(lane.queue) == [after]
-    send.listed("c0", send.servers["c0"].address, "draining")
+    send.update_endpoint("c0", send.servers["c0"].address, "draining")
     send.sift()
     assert send.route.posted[-1][:2] == (after, "unsent")
     cache.go_on.set()
@@ -309,7 +309,7 @@
     lane = go(send, one)
     time.sleep(0.05)
     assert not lane.ready and not send.route.posted
-    send.listed("c0", send.servers["c0"].address, "draining")
+    send.update_endpoint("c0", send.servers["c0"].address, "draining")
     send.sift()
     assert [about[:2] for about in send.route.posted] == [(one, "unsent")] and not lane.open
     full.close()
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -52,7 +52,7 @@
     cache = Cache()
     send = sender(cache.address)
     attempt = taken(send, stays(send))
-    removal = threading.Thread(target=lambda: send.listed("c0", ("", 0), "gone"))
+    removal = threading.Thread(target=lambda: send.update_endpoint("c0", ("", 0), "gone"))
 
     def removed():
         removal.start()
@@ -143,7 +143,7 @@
     send.enqueue(taken(send, stays(send), ident=5)).pump()
     until(lambda: old.wants)
     host, port = new.address.split(":")
-    send.listed("c0", (host, int(port)), "up")
+    send.update_endpoint("c0", (host, int(port)), "up")
     send.enqueue(taken(send, stays(send), ident=6)).pump()
     until(lambda: new.wants)
     assert len(old.wants) == len(new.wants) == 1
@@ -156,7 +156,7 @@
     dialled = dials_wait(monkeypatch)
     send.enqueue(attempt)
     host, port = new.address.split(":")
-    send.listed("c0", (host, int(port)), "up")
+    send.update_endpoint("c0", (host, int(port)), "up")
     dialled.set()
     assert [about[:2] for about in until(lambda: send.route.posted)] == [(attempt, "unsent")]
     assert not attempt.written_at and not old.wants
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -210,7 +210,7 @@
     until(lambda: hop.written_at and cache.wants)
     other = Hop(2, 0, "b" * 16, "c0", None, want("b" * 16), clock())
     assert send.enqueue(other) is lane
-    send.listed("c0", ("", 0), "gone")
+    send.update_endpoint("c0", ("", 0), "gone")
     lane.pump()
     assert [about[:2] for about in send.route.posted] == [(other, "unsent")] and "b" * 16 not in lane.open
 
