--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -62,13 +62,13 @@
         if len(lanes) == 1 and not self.broke and hop.server in self.servers and lanes[0].put(hop, sure=False):
             return lanes[0]  # the ordinary case of what follows
         while True:
-            lane = self.lane_for(hop)
+            lane = self.connection_for(hop)
             if lane is None:
                 return self.ended(hop, "unsent")
             if lane.put(hop):
                 return lane
 
-    def lane_for(self, hop: Hop) -> ServerConnection | None:
+    def connection_for(self, hop: Hop) -> ServerConnection | None:
         with self.lock:
             endpoint = self.servers.get(hop.server)  # once: discovery's thread may remove it at any moment
             if endpoint is None:
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -22,7 +22,7 @@
 """
 # What fails: module and class, method, its arguments, each how many calls; and where it is to be contained.
 PLANTED = {
-    "a connection is looked for": (("connection_pool", "ConnectionPool", "lane_for", "self, hop", 2), "event"),
+    "a connection is looked for": (("connection_pool", "ConnectionPool", "connection_for", "self, hop", 2), "event"),
     "an attempt's end is decided on": (("router_host", "RouterHost", "hop_ended", "self, *about", 3), "event"),
     "a request is decided on": (("router_host", "RouterHost", "arrived", "self, txn", 3), "event"),
     "an attempt is handed over": (("router_host", "RouterHost", "go", "self, hop", 3), "event"),
