--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -151,7 +151,7 @@
                     **self.open_txns.counts,
                     "open": len(self.open_txns.by_id),
                     "clients": len(self.client_listener.clients),
-                    "lanes": self.send.count(),
+                    "lanes": self.send.connection_count(),
                     "threads": threading.active_count(),
                     "lag_ms": lag // MS,
                     "pause_ms": int(pause * 1000),
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -77,9 +77,11 @@
             free = [lane for lane in lanes if lane.takes(hop)]
             best = min(free, key=lambda lane: len(lane.open)) if free else None
             breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.broke < self.site.idle_close
-            if best is not None and (not best.open or len(lanes) >= (LANES if breaking else 1) or self.many() >= self.most_lanes // 2):
+            if best is not None and (
+                not best.open or len(lanes) >= (LANES if breaking else 1) or self.unlocked_count() >= self.most_lanes // 2
+            ):
                 return best  # beyond half of the descriptors further ones are for servers that have none
-            if self.many() >= self.most_lanes:
+            if self.unlocked_count() >= self.most_lanes:
                 log.warning("lanes_full", extra={"kv": {"server": hop.server, "lanes": self.most_lanes}})
                 return None
             try:
@@ -89,12 +91,12 @@
                 return best
             return lanes[-1]
 
-    def many(self) -> int:
+    def unlocked_count(self) -> int:
         return sum(map(len, self.lanes.values()))
 
-    def count(self) -> int:
+    def connection_count(self) -> int:
         with self.lock:
-            return self.many()
+            return self.unlocked_count()
 
     def lane_ended(self, lane: ServerConnection) -> None:
         with self.lock:
