--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -98,7 +98,7 @@
         with self.lock:
             return self.unlocked_count()
 
-    def lane_ended(self, lane: ServerConnection) -> None:
+    def remove_connection(self, lane: ServerConnection) -> None:
         with self.lock:
             lanes = self.lanes.get(lane.server, [])
             if lane in lanes:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -495,7 +495,7 @@
             hops = list(self.open.values())
             self.open.clear()
         self.shut()
-        self.send.lane_ended(self)
+        self.send.remove_connection(self)
         with self.writing:  # a write under way uses the descriptor; none waits in there
             if self.sock is not None:
                 self.sock.close()
