--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -106,7 +106,7 @@
             if not lanes:
                 self.lanes.pop(lane.server, None)
 
-    def claim(self, hop: Hop) -> bool:
+    def claim_end(self, hop: Hop) -> bool:
         """Whoever claims a hop reports its one end."""
         with self.lock:
             first, hop.ended = not hop.ended, True
@@ -184,7 +184,7 @@
 
     def give_up(self, hop: Hop, now: int) -> bool:
         """Stop waiting; true where the caller is to report the end."""
-        if not self.claim(hop):
+        if not self.claim_end(hop):
             return False
         if hop.connection is not None:
             hop.connection.drop(hop, now)
@@ -200,14 +200,14 @@
             after.connection.again(after)
 
     def ended(self, hop: Hop, result: str) -> None:
-        if self.claim(hop):
+        if self.claim_end(hop):
             self.report(hop, result)
 
     def report(self, hop: Hop, result: str, reply: resp.Reply | None = None, at: int = 0) -> None:
         self.route.post(self.route.hop_ended, hop, result, (at or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS) - hop.decided_at, reply)
 
     def answered(self, hop: Hop, reply: resp.Reply, at: int, cork: list | None = None) -> None:
-        if not self.claim(hop):
+        if not self.claim_end(hop):
             return
         if hop.want is not None and reply.result == "completed":
             unchanged = reply.current is not None
