--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -114,7 +114,7 @@
                 del self.outstanding[hop.ident]
             return first
 
-    def purge_told(self, obj: str | None, group: int) -> None:
+    def purge_received(self, obj: str | None, group: int) -> None:
         """Attempts decided before, and not written, would ask for copies too old."""
         self.rules.purge_told(obj if obj is not None else group, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
         self.sift()
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -382,7 +382,7 @@
         if now:
             return self.purged(purge, live=False)
         self.queue.append((self.purged, (purge,), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
-        self.sender.purge_told(purge.obj, purge.group)
+        self.sender.purge_received(purge.obj, purge.group)
         if not self.mine.busy:
             self.work()
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -190,8 +190,8 @@
     "draining": lambda send: send.update_endpoint("c0", send.servers["c0"].address, "draining"),
     "gone": lambda send: send.update_endpoint("c0", ("", 0), "gone"),
     "source": lambda send: send.update_endpoint("p0", ("127.0.0.1", 1), "draining"),
-    "purge of the group": lambda send: send.purge_told(None, 7),
-    "purge of the object": lambda send: send.purge_told("0" * 16, -1),
+    "purge of the group": lambda send: send.purge_received(None, 7),
+    "purge of the object": lambda send: send.purge_received("0" * 16, -1),
 }
 
 
@@ -227,7 +227,7 @@
     knows, other = hop(500, purges=1), hop(501, group=8)
     other.want.obj = "1" * 16
     send.enqueue(knows), send.enqueue(other)
-    send.purge_told(None, 7)
+    send.purge_received(None, 7)
     cache.go_on.set()
     until(lambda: {"%016x" % 500, "%016x" % 501} <= {w["id"] for w in cache.wants})
     assert knows.written_at and other.written_at
