--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -117,9 +117,9 @@
     def purge_received(self, obj: str | None, group: int) -> None:
         """Attempts decided before, and not written, would ask for copies too old."""
         self.rules.purge_told(obj if obj is not None else group, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
-        self.sift()
+        self.refuse_stale_hops()
 
-    def sift(self) -> None:
+    def refuse_stale_hops(self) -> None:
         with self.lock:
             lanes = [lane for lanes in self.lanes.values() for lane in lanes if lane.queue]
         for lane in lanes:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -354,7 +354,7 @@
         if change.complete:
             for name in set(self.sender.servers) - {s.name for s in change.servers}:
                 self.sender.update_endpoint(name, ("", 0), "gone")
-        self.sender.sift()
+        self.sender.refuse_stale_hops()
         if not self.mine.busy:
             self.work()
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -205,7 +205,7 @@
     begun = [one for one in hops if one.written_at]
     assert 0 < len(begun) < len(hops) - 5
     CHANGES[change](send)
-    send.sift()
+    send.refuse_stale_hops()
     ends = {about[0]: about[1] for about in send.route.posted[1:]}
     assert ends == {one: "unsent" for one in hops if one not in begun}
     late = hop(900, source="p0")  # decided before the change, put in after it
@@ -289,7 +289,7 @@
     until(lambda: lane.draining)
     assert not after.written_at and list(lane.queue) == [after]
     send.update_endpoint("c0", send.servers["c0"].address, "draining")
-    send.sift()
+    send.refuse_stale_hops()
     assert send.route.posted[-1][:2] == (after, "unsent")
     cache.go_on.set()
     until(lambda: len(cache.wants) == 2 and not lane.draining)
@@ -310,7 +310,7 @@
     time.sleep(0.05)
     assert not lane.ready and not send.route.posted
     send.update_endpoint("c0", send.servers["c0"].address, "draining")
-    send.sift()
+    send.refuse_stale_hops()
     assert [about[:2] for about in send.route.posted] == [(one, "unsent")] and not lane.open
     full.close()
     for other in crowd:
