--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -123,7 +123,7 @@
         with self.lock:
             lanes = [lane for lanes in self.lanes.values() for lane in lanes if lane.queue]
         for lane in lanes:
-            lane.sift()
+            lane.refuse_stale_hops()
 
     def catch_up(self) -> None:
         """Waits, a moment at most, for what discovery has sent and is not told yet."""
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -168,7 +168,7 @@
             if self.retired and not self.open:
                 self.shut()  # its thread may wait for ever, a writer be held up
 
-    def sift(self) -> None:
+    def refuse_stale_hops(self) -> None:
         """Hops that wait here and may not go out any more are taken back at once: they never ran."""
         for hop in list(self.queue):
             refusal = self.send.rules.refusal(hop, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
