--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -125,7 +125,7 @@
         for lane in lanes:
             lane.refuse_stale_hops()
 
-    def catch_up(self) -> None:
+    def wait_for_discovery(self) -> None:
         """Waits, a moment at most, for what discovery has sent and is not told yet."""
         if self.board is not None:
             self.board.caught_up()
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -237,7 +237,7 @@
                 return [], None, True
             self.past = False
         if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.send.looked > LOOK_BOARD:
-            self.send.catch_up()  # before any is looked at: nothing may wait between the look at one and its write
+            self.send.wait_for_discovery()  # before any is looked at: nothing may wait between the look at one and its write
         try:  # as `next_attempt`, without a call in the ordinary case
             hop = self.queue.popleft()
         except IndexError:
