--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -131,7 +131,7 @@
             self.board.caught_up()
             self.looked = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
 
-    def begin(self, hop: Hop) -> bool:
+    def start_attempt(self, hop: Hop) -> bool:
         """Just before a hop is written: it may have been given up, or not be right any more, or its client may have gone: of a txn
         that has waited, a close, reset or withdrawal may lie unread in the socket. What lies there is for the client's own reader,
         which puts the hop back into its queue once it has worked that off."""
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -243,7 +243,7 @@
         except IndexError:
             return (), None, False
         if hop.want is not None and not self.queue:  # the ordinary case of what follows
-            if not self.send.begin(hop):
+            if not self.send.start_attempt(hop):
                 return (), None, False
             data = resp.want(hop.want)
             try:
@@ -254,7 +254,7 @@
             return self.put_back([(hop, data)], left) if left else ((), None, False)
         messages = []
         while hop is not None:
-            if self.send.begin(hop):
+            if self.send.start_attempt(hop):
                 messages.append((hop, resp.want(hop.want) if hop.want else (resp.probe(hop.name),)))
             hop = self.next_attempt() if len(messages) < MOST_AT_ONCE else None
         if not messages:
