--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -139,7 +139,7 @@
         if hop.ended:
             return False
         if now - hop.connection.heard > LOOK_IDLE and hop.connection.over():
-            self.take_back(hop, Refusal.CONNECTION_ENDED)
+            self.refuse(hop, Refusal.CONNECTION_ENDED)
             return False
         if hop.want is not None:
             txn = self.open_txns.by_id.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
@@ -151,7 +151,7 @@
                         self.route.post(self.route.withdrawn, txn.ident)
                     txn = None
             if txn is None:
-                self.take_back(hop, Refusal.CLIENT_LEFT)
+                self.refuse(hop, Refusal.CLIENT_LEFT)
                 return False
         with self.lock:
             if hop.ended:
@@ -170,10 +170,10 @@
                         check_invariant(False, "one attempt of a request outstanding", txn=hop.name, attempt=hop.number)
                     self.outstanding[hop.ident] = hop
                 return True
-        self.take_back(hop, refusal)
+        self.refuse(hop, refusal)
         return False
 
-    def take_back(self, hop: Hop, reason: Refusal) -> None:
+    def refuse(self, hop: Hop, reason: Refusal) -> None:
         """The attempt does not go out: it never ran."""
         self.refused.add(reason)
         if log.isEnabledFor(logging.DEBUG):
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -178,7 +178,7 @@
                 self.queue.remove(hop)
             except ValueError:
                 continue  # a writer has it, and looks by itself
-            self.send.take_back(hop, refusal)
+            self.send.refuse(hop, refusal)
 
     def pump(self) -> None:
         """Write what waits here. Whoever finds another at it leaves: that one looks again before it goes."""
