--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -190,7 +190,7 @@
             hop.connection.drop(hop, now)
         return True
 
-    def told(self, hop: Hop) -> None:
+    def cancel_delivered(self, hop: Hop) -> None:
         """The server was told that the hop is given up, or the connection has ended: the txn's next may go."""
         with self.lock:
             if self.untold.get(hop.ident) is hop:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -227,7 +227,7 @@
     def told(self) -> None:
         hops, self.saying = self.saying, []
         for hop in hops:
-            self.send.told(hop)
+            self.send.cancel_delivered(hop)
 
     def write(self) -> tuple[list, Hop | None, bool]:
         """One write of what waits: what is left of a message that was cut, its hop, and whether the socket is full.
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -158,7 +158,7 @@
             super().__delitem__(key)
 
     send.untold = Between({5: first})
-    send.told(first)
+    send.cancel_delivered(first)
     threads[0].join()
     assert send.untold.get(5) is second
 
