--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -64,7 +64,7 @@
         while True:
             lane = self.connection_for(hop)
             if lane is None:
-                return self.ended(hop, "unsent")
+                return self.end_hop(hop, "unsent")
             if lane.put(hop):
                 return lane
 
@@ -180,7 +180,7 @@
             log.debug("refused", extra={"kv": {"txn": hop.name, "attempt": hop.number, "server": hop.server, "why": reason.value}})
         with hop.connection.lock:
             hop.connection.open.pop(hop.name, None)
-        self.ended(hop, "unsent")
+        self.end_hop(hop, "unsent")
 
     def give_up(self, hop: Hop, now: int) -> bool:
         """Stop waiting; true where the caller is to report the end."""
@@ -199,7 +199,7 @@
         if after is not None:
             after.connection.again(after)
 
-    def ended(self, hop: Hop, result: str) -> None:
+    def end_hop(self, hop: Hop, result: str) -> None:
         if self.claim_end(hop):
             self.report(hop, result)
 
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -519,4 +519,4 @@
         if any(hop.written_at for hop in hops):
             self.send.broke = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         for hop in hops:
-            self.send.ended(hop, "broken" if hop.written_at else unwritten)
+            self.send.end_hop(hop, "broken" if hop.written_at else unwritten)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -372,7 +372,7 @@
             elif what == "cut":
                 route.post(route.cut, ident, hop.number)
             elif what == "broken":
-                send.ended(hop, "broken")
+                send.end_hop(hop, "broken")
             else:
                 send.answered(hop, resp.Reply(hop.name, "completed" if what == "good" else "error", False, 1, None, None, b"x"), clock())
 
@@ -415,7 +415,7 @@
     for _ in range(20):  # whatever is still open has its hops ended, tries of their own included
         for ident in list(open_txns.by_id):
             if hops.get(ident):
-                send.ended(hops[ident][-1], "unreachable")
+                send.end_hop(hops[ident][-1], "unreachable")
         route.work(0)
     for ident in list(open_txns.by_id):  # followers whose leader had gone
         route.post(route.cut, ident, hops[ident][-1].number if hops.get(ident) else 0)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -541,7 +541,7 @@
     lane = hop.connection
     quiet.reset()
     until(lambda: lane.closed)
-    send.ended(hop, "broken")
+    send.end_hop(hop, "broken")
     assert not send.route.posted
 
 
