--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -201,9 +201,9 @@
 
     def end_hop(self, hop: Hop, result: str) -> None:
         if self.claim_end(hop):
-            self.report(hop, result)
+            self.report_end(hop, result)
 
-    def report(self, hop: Hop, result: str, reply: resp.Reply | None = None, at: int = 0) -> None:
+    def report_end(self, hop: Hop, result: str, reply: resp.Reply | None = None, at: int = 0) -> None:
         self.route.post(self.route.hop_ended, hop, result, (at or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS) - hop.decided_at, reply)
 
     def answered(self, hop: Hop, reply: resp.Reply, at: int, cork: list | None = None) -> None:
@@ -213,7 +213,7 @@
             unchanged = reply.current is not None
             if unchanged and reply.current != hop.want.tag:
                 log.warning("spoilt", extra={"kv": {"server": hop.server, "why": "calls a copy current that the client does not hold"}})
-                return self.report(hop, "error")
+                return self.report_end(hop, "error")
             answer = Answer("completed", 0, unchanged, reply.body)
             owed = hop.ident, hop.number
             self.answer_sender.undelivered.add(owed)
@@ -222,4 +222,4 @@
                 self.answer_sender.answer(txn, answer, cork)
             self.answer_sender.undelivered.discard(owed)
         reply.body = b""  # it lay in the connection's buffer
-        self.report(hop, reply.result, reply, at)
+        self.report_end(hop, reply.result, reply, at)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -441,7 +441,7 @@
     def cancel(self, ident, number) -> None:
         hop = self.hops.get((ident, number))
         if hop is not None and self.give_up(hop):
-            self.sender.report(hop, "cancelled" if hop.written_at else "unsent")
+            self.sender.report_end(hop, "cancelled" if hop.written_at else "unsent")
 
     def give_up(self, hop: Hop) -> bool:
         mine = self.sender.give_up(hop, self.clock)
