--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -206,7 +206,7 @@
     def report_end(self, hop: Hop, result: str, reply: resp.Reply | None = None, at: int = 0) -> None:
         self.route.post(self.route.hop_ended, hop, result, (at or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS) - hop.decided_at, reply)
 
-    def answered(self, hop: Hop, reply: resp.Reply, at: int, cork: list | None = None) -> None:
+    def handle_reply(self, hop: Hop, reply: resp.Reply, at: int, cork: list | None = None) -> None:
         if not self.claim_end(hop):
             return
         if hop.want is not None and reply.result == "completed":
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -470,9 +470,9 @@
                     continue  # given up, and crossed
                 if cork or window.end > window.start:  # else it is the only one
                     send.answer_sender.undelivered.add((0, id(self)))
-                    send.answered(hop, reply, now, cork)
+                    send.handle_reply(hop, reply, now, cork)
                 else:
-                    send.answered(hop, reply, now)
+                    send.handle_reply(hop, reply, now)
         finally:
             for client_writer in cork:
                 client_writer.uncork()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -374,7 +374,9 @@
             elif what == "broken":
                 send.end_hop(hop, "broken")
             else:
-                send.answered(hop, resp.Reply(hop.name, "completed" if what == "good" else "error", False, 1, None, None, b"x"), clock())
+                send.handle_reply(
+                    hop, resp.Reply(hop.name, "completed" if what == "good" else "error", False, 1, None, None, b"x"), clock()
+                )
 
     def arrive(numbers):
         for ident in numbers:
