--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -67,7 +67,7 @@
             from fieldspur.fleet.list_overlay import ServerListOverlay
 
             overlay = ServerListOverlay(self.route)
-        self.board = self.send.board = DiscoveryClient(node.board, overlay or self.route, node.seed)
+        self.board = self.send.discovery = DiscoveryClient(node.board, overlay or self.route, node.seed)
         self.board.begin(node.known, node.known_to)
         self.client_listener = ClientListener(
             node.listen,
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -28,7 +28,7 @@
     def __init__(self, site: Deployment, open_txns: OpenTxns, answer_sender: AnswerSender, most_lanes: int):
         self.site, self.open_txns, self.answer_sender, self.most_lanes = site, open_txns, answer_sender, most_lanes
         self.route = None  # set by it
-        self.board, self.looked = None, 0  # the board, set by who has both; when a hop last looked at it
+        self.discovery, self.discovery_checked_at = None, 0  # the board, set by who has both; when a hop last looked at it
         self.rules = AttemptRules(site.connect_timeout)
         self.refused = ReasonCounter(Refusal)  # attempts that did not go out
         self.connection_ends = ReasonCounter(ConnectionEnd)
@@ -127,9 +127,9 @@
 
     def wait_for_discovery(self) -> None:
         """Waits, a moment at most, for what discovery has sent and is not told yet."""
-        if self.board is not None:
-            self.board.caught_up()
-            self.looked = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
+        if self.discovery is not None:
+            self.discovery.caught_up()
+            self.discovery_checked_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
 
     def start_attempt(self, hop: Hop) -> bool:
         """Just before a hop is written: it may have been given up, or not be right any more, or its client may have gone: of a txn
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -236,7 +236,7 @@
             if not self.poll().poll(0):
                 return [], None, True
             self.past = False
-        if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.send.looked > LOOK_BOARD:
+        if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.send.discovery_checked_at > LOOK_BOARD:
             self.send.wait_for_discovery()  # before any is looked at: nothing may wait between the look at one and its write
         try:  # as `next_attempt`, without a call in the ordinary case
             hop = self.queue.popleft()
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -360,7 +360,7 @@
     cache, notices = Cache(lambda w: None), Notices()
     send, route = route_to(cache)
     host, port = notices.address.split(":")
-    board = send.board = DiscoveryClient((host, int(port)), route, 1)
+    board = send.discovery = DiscoveryClient((host, int(port)), route, 1)
     board.last = 1
     threading.Thread(target=board.run, daemon=True).start()
     until(board.current.is_set)
@@ -381,7 +381,7 @@
 def test_a_board_that_says_nothing_holds_up_one_write_for_a_moment_and_then_none():
     cache = Cache(lambda w: None)
     send, route = route_to(cache)
-    board = send.board = DiscoveryClient(("127.0.0.1", 1), route, 1)
+    board = send.discovery = DiscoveryClient(("127.0.0.1", 1), route, 1)
     board.heard -= 5
     began = time.monotonic()
     go(send, hop(1))
@@ -424,7 +424,7 @@
     cache, notices = Cache(lambda w: None), Notices()
     send, route = route_to(cache)
     host, port = notices.address.split(":")
-    board = send.board = DiscoveryClient((host, int(port)), route, 1)
+    board = send.discovery = DiscoveryClient((host, int(port)), route, 1)
     board.last = 1
     seen = []
     threading.Thread(target=board.run, daemon=True).start()
