--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -175,7 +175,7 @@
         """How often something ended, was refused, given up or closed, by reason."""
         gave_up, attempts = self.route.router.gave_up, self.route.attempts
         counts = {f"attempts_{result}": attempts[result] for result in RESULTS if attempts[result]}
-        counts |= self.send.refused.log_fields("refused") | self.client_listener.admission.refusals.log_fields("refused")
+        counts |= self.send.refusals.log_fields("refused") | self.client_listener.admission.refusals.log_fields("refused")
         # Over the enum, not the dict: the Router's thread adds to that meanwhile.
         counts |= {f"gave_up_{why.value}": gave_up[why] for why in GiveUp if why in gave_up}
         counts |= contained_errors.log_fields()
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -30,7 +30,7 @@
         self.route = None  # set by it
         self.discovery, self.discovery_checked_at = None, 0  # the board, set by who has both; when a hop last looked at it
         self.rules = AttemptRules(site.connect_timeout)
-        self.refused = ReasonCounter(Refusal)  # attempts that did not go out
+        self.refusals = ReasonCounter(Refusal)  # attempts that did not go out
         self.connection_ends = ReasonCounter(ConnectionEnd)
         self.outstanding: dict[int, Hop] = {}  # the attempt of each request that has gone out and has not ended
         self.broke = 0  # when a connection last broke under hops
@@ -175,7 +175,7 @@
 
     def refuse(self, hop: Hop, reason: Refusal) -> None:
         """The attempt does not go out: it never ran."""
-        self.refused.add(reason)
+        self.refusals.add(reason)
         if log.isEnabledFor(logging.DEBUG):
             log.debug("refused", extra={"kv": {"txn": hop.name, "attempt": hop.number, "server": hop.server, "why": reason.value}})
         with hop.connection.lock:
