--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -33,7 +33,7 @@
         self.refusals = ReasonCounter(Refusal)  # attempts that did not go out
         self.connection_ends = ReasonCounter(ConnectionEnd)
         self.outstanding: dict[int, Hop] = {}  # the attempt of each request that has gone out and has not ended
-        self.broke = 0  # when a connection last broke under hops
+        self.last_break_at = 0  # when a connection last broke under hops
         self.lock = threading.Lock()
         self.lanes: dict[str, list[ServerConnection]] = {}
         self.servers = self.rules.endpoints
@@ -59,7 +59,7 @@
     def enqueue(self, hop: Hop) -> ServerConnection | None:
         """The hop waits in the lane given back, to be pumped; its end is reported later, whatever happens."""
         lanes = self.lanes.get(hop.server, ())[:2]  # a copy: another thread may take one out
-        if len(lanes) == 1 and not self.broke and hop.server in self.servers and lanes[0].put(hop, sure=False):
+        if len(lanes) == 1 and not self.last_break_at and hop.server in self.servers and lanes[0].put(hop, sure=False):
             return lanes[0]  # the ordinary case of what follows
         while True:
             lane = self.connection_for(hop)
@@ -76,7 +76,7 @@
             lanes = self.lanes.setdefault(hop.server, [])
             free = [lane for lane in lanes if lane.takes(hop)]
             best = min(free, key=lambda lane: len(lane.open)) if free else None
-            breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.broke < self.site.idle_close
+            breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_break_at < self.site.idle_close
             if best is not None and (
                 not best.open or len(lanes) >= (LANES if breaking else 1) or self.unlocked_count() >= self.most_lanes // 2
             ):
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -517,6 +517,6 @@
             },
         )
         if any(hop.written_at for hop in hops):
-            self.send.broke = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
+            self.send.last_break_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         for hop in hops:
             self.send.end_hop(hop, "broken" if hop.written_at else unwritten)
