--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -25,8 +25,8 @@
 class ConnectionPool:
     """All connections to servers. Under the Router's lock things are only put into queues here."""
 
-    def __init__(self, site: Deployment, open_txns: OpenTxns, answer_sender: AnswerSender, most_lanes: int):
-        self.site, self.open_txns, self.answer_sender, self.most_lanes = site, open_txns, answer_sender, most_lanes
+    def __init__(self, site: Deployment, open_txns: OpenTxns, answer_sender: AnswerSender, max_connections: int):
+        self.site, self.open_txns, self.answer_sender, self.max_connections = site, open_txns, answer_sender, max_connections
         self.route = None  # set by it
         self.discovery, self.discovery_checked_at = None, 0  # the board, set by who has both; when a hop last looked at it
         self.rules = AttemptRules(site.connect_timeout)
@@ -35,7 +35,7 @@
         self.outstanding: dict[int, Hop] = {}  # the attempt of each request that has gone out and has not ended
         self.last_break_at = 0  # when a connection last broke under hops
         self.lock = threading.Lock()
-        self.lanes: dict[str, list[ServerConnection]] = {}
+        self.connections: dict[str, list[ServerConnection]] = {}
         self.servers = self.rules.endpoints
         # One hop outstanding at a time: by txn, the one given up of which its server was not told yet, and the next, which waits.
         self.untold: dict[int, Hop] = {}
@@ -48,7 +48,7 @@
             before = self.servers.get(name)
             self.rules.listed(name, address, state, started)
             now = self.servers.get(name)
-            lanes = [lane for lane in self.lanes.get(name, ()) if now is None or now.address != lane.address]
+            lanes = [lane for lane in self.connections.get(name, ()) if now is None or now.address != lane.address]
             for lane in lanes:
                 lane.retired = True  # what is under way there may end
         if before is None or before.state != state:
@@ -58,7 +58,7 @@
 
     def enqueue(self, hop: Hop) -> ServerConnection | None:
         """The hop waits in the lane given back, to be pumped; its end is reported later, whatever happens."""
-        lanes = self.lanes.get(hop.server, ())[:2]  # a copy: another thread may take one out
+        lanes = self.connections.get(hop.server, ())[:2]  # a copy: another thread may take one out
         if len(lanes) == 1 and not self.last_break_at and hop.server in self.servers and lanes[0].put(hop, sure=False):
             return lanes[0]  # the ordinary case of what follows
         while True:
@@ -73,16 +73,16 @@
             endpoint = self.servers.get(hop.server)  # once: discovery's thread may remove it at any moment
             if endpoint is None:
                 return None
-            lanes = self.lanes.setdefault(hop.server, [])
+            lanes = self.connections.setdefault(hop.server, [])
             free = [lane for lane in lanes if lane.takes(hop)]
             best = min(free, key=lambda lane: len(lane.open)) if free else None
             breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_break_at < self.site.idle_close
             if best is not None and (
-                not best.open or len(lanes) >= (LANES if breaking else 1) or self.unlocked_count() >= self.most_lanes // 2
+                not best.open or len(lanes) >= (LANES if breaking else 1) or self.unlocked_count() >= self.max_connections // 2
             ):
                 return best  # beyond half of the descriptors further ones are for servers that have none
-            if self.unlocked_count() >= self.most_lanes:
-                log.warning("lanes_full", extra={"kv": {"server": hop.server, "lanes": self.most_lanes}})
+            if self.unlocked_count() >= self.max_connections:
+                log.warning("lanes_full", extra={"kv": {"server": hop.server, "lanes": self.max_connections}})
                 return None
             try:
                 lanes.append(ServerConnection(self, hop.server, endpoint.address, patient=best is None))
@@ -92,7 +92,7 @@
             return lanes[-1]
 
     def unlocked_count(self) -> int:
-        return sum(map(len, self.lanes.values()))
+        return sum(map(len, self.connections.values()))
 
     def connection_count(self) -> int:
         with self.lock:
@@ -100,11 +100,11 @@
 
     def remove_connection(self, lane: ServerConnection) -> None:
         with self.lock:
-            lanes = self.lanes.get(lane.server, [])
+            lanes = self.connections.get(lane.server, [])
             if lane in lanes:
                 lanes.remove(lane)
             if not lanes:
-                self.lanes.pop(lane.server, None)
+                self.connections.pop(lane.server, None)
 
     def claim_end(self, hop: Hop) -> bool:
         """Whoever claims a hop reports its one end."""
@@ -121,7 +121,7 @@
 
     def refuse_stale_hops(self) -> None:
         with self.lock:
-            lanes = [lane for lanes in self.lanes.values() for lane in lanes if lane.queue]
+            lanes = [lane for lanes in self.connections.values() for lane in lanes if lane.queue]
         for lane in lanes:
             lane.refuse_stale_hops()
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -484,7 +484,7 @@
     service.path.write_text(json.dumps(service.conf))
     whole = Whole(read_node({"LB_CONFIG": str(service.path)}))
     whole.client_listener.stop_listening()
-    assert whole.send.most_lanes == 16 and whole.client_listener.max_clients == 512
+    assert whole.send.max_connections == 16 and whole.client_listener.max_clients == 512
 
 
 def test_a_faulty_key_ends_the_program_with_code_2(run):
