--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -36,7 +36,7 @@
         self.last_break_at = 0  # when a connection last broke under hops
         self.lock = threading.Lock()
         self.connections: dict[str, list[ServerConnection]] = {}
-        self.servers = self.rules.endpoints
+        self.endpoints = self.rules.endpoints
         # One hop outstanding at a time: by txn, the one given up of which its server was not told yet, and the next, which waits.
         self.untold: dict[int, Hop] = {}
         self.behind: dict[int, Hop] = {}
@@ -45,9 +45,9 @@
         """Discovery's word, by its thread. The endpoints change under the lock under which attempts get their connections: a connection
         is either made before and looked at here, or is not made."""
         with self.lock:
-            before = self.servers.get(name)
+            before = self.endpoints.get(name)
             self.rules.listed(name, address, state, started)
-            now = self.servers.get(name)
+            now = self.endpoints.get(name)
             lanes = [lane for lane in self.connections.get(name, ()) if now is None or now.address != lane.address]
             for lane in lanes:
                 lane.retired = True  # what is under way there may end
@@ -59,7 +59,7 @@
     def enqueue(self, hop: Hop) -> ServerConnection | None:
         """The hop waits in the lane given back, to be pumped; its end is reported later, whatever happens."""
         lanes = self.connections.get(hop.server, ())[:2]  # a copy: another thread may take one out
-        if len(lanes) == 1 and not self.last_break_at and hop.server in self.servers and lanes[0].put(hop, sure=False):
+        if len(lanes) == 1 and not self.last_break_at and hop.server in self.endpoints and lanes[0].put(hop, sure=False):
             return lanes[0]  # the ordinary case of what follows
         while True:
             lane = self.connection_for(hop)
@@ -70,7 +70,7 @@
 
     def connection_for(self, hop: Hop) -> ServerConnection | None:
         with self.lock:
-            endpoint = self.servers.get(hop.server)  # once: discovery's thread may remove it at any moment
+            endpoint = self.endpoints.get(hop.server)  # once: discovery's thread may remove it at any moment
             if endpoint is None:
                 return None
             lanes = self.connections.setdefault(hop.server, [])
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -352,7 +352,7 @@
             if s.state != "up":
                 self.sender.update_endpoint(s.name, s.address, s.state, s.started)
         if change.complete:
-            for name in set(self.sender.servers) - {s.name for s in change.servers}:
+            for name in set(self.sender.endpoints) - {s.name for s in change.servers}:
                 self.sender.update_endpoint(name, ("", 0), "gone")
         self.sender.refuse_stale_hops()
         if not self.mine.busy:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -422,7 +422,7 @@
                 and not self.queue
                 and (
                     self.retired
-                    or self.server not in self.send.servers
+                    or self.server not in self.send.endpoints
                     or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.heard > self.send.site.idle_close * 0.75
                 )
             )
@@ -444,7 +444,7 @@
         try:
             while size := self.receive(decoder):
                 self.replies(decoder, size)
-                if self.retired or self.server not in self.send.servers:
+                if self.retired or self.server not in self.send.endpoints:
                     self.look()
         except OSError as wrong:
             how, why = end_of(wrong), wrong.strerror or type(wrong).__name__
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -672,7 +672,7 @@
     held, cache = readers_held(monkeypatch), Cache(lambda want: None)
     send = sender(cache.address, open_txns=OpenTxns())
     hop = taken(send, stays(send))
-    first = ServerConnection(send, "c0", send.servers["c0"].address)
+    first = ServerConnection(send, "c0", send.endpoints["c0"].address)
     send.connections["c0"] = [first]
     until(lambda: first.ready and cache.conns)
     cache.reset() if how == "resets" else cache.conns[0].shutdown(socket.SHUT_WR)
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -187,7 +187,7 @@
 
 
 CHANGES = {
-    "draining": lambda send: send.update_endpoint("c0", send.servers["c0"].address, "draining"),
+    "draining": lambda send: send.update_endpoint("c0", send.endpoints["c0"].address, "draining"),
     "gone": lambda send: send.update_endpoint("c0", ("", 0), "gone"),
     "source": lambda send: send.update_endpoint("p0", ("127.0.0.1", 1), "draining"),
     "purge of the group": lambda send: send.purge_received(None, 7),
@@ -288,7 +288,7 @@
     assert go(send, after) is lane
     until(lambda: lane.draining)
     assert not after.written_at and list(lane.queue) == [after]
-    send.update_endpoint("c0", send.servers["c0"].address, "draining")
+    send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
     send.refuse_stale_hops()
     assert send.route.posted[-1][:2] == (after, "unsent")
     cache.go_on.set()
@@ -309,7 +309,7 @@
     lane = go(send, one)
     time.sleep(0.05)
     assert not lane.ready and not send.route.posted
-    send.update_endpoint("c0", send.servers["c0"].address, "draining")
+    send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
     send.refuse_stale_hops()
     assert [about[:2] for about in send.route.posted] == [(one, "unsent")] and not lane.open
     full.close()
@@ -433,6 +433,6 @@
         notices.tell(2, pool={"endpoints": [endpoint("c1", cache.address)]})
         notices.tell(3, flush={"collection": 7, "ms": time.time_ns() // MS})
         until(lambda: notices.sent == [2, 3])
-        route.queue.append((lambda: seen.append((send.rules.purges, "c1" in send.servers)), (), clock()))
+        route.queue.append((lambda: seen.append((send.rules.purges, "c1" in send.endpoints)), (), clock()))
     until(lambda: seen)
     assert seen == [(1, True)]
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -56,7 +56,7 @@
 
     def removed():
         removal.start()
-        until(lambda: "c0" not in send.servers)
+        until(lambda: "c0" not in send.endpoints)
 
     send.lock = LetsIn(send.lock, removed)
     lane = send.enqueue(attempt)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -662,7 +662,7 @@
     here, there = socket.socketpair()
     send = sender(quiet.address)
     route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
-    row = ListedServer("c0", send.servers["c0"].address, "east", "std", 0, "up", 50.0, 0)
+    row = ListedServer("c0", send.endpoints["c0"].address, "east", "std", 0, "up", 50.0, 0)
     route.list_told(ListChange(True, (row,)), now=True)
     client_writer = ClientWriter(here, encode, route.answer_sender)
     client_writer.streams[1] = 1
