--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -38,8 +38,8 @@
         self.connections: dict[str, list[ServerConnection]] = {}
         self.endpoints = self.rules.endpoints
         # One hop outstanding at a time: by txn, the one given up of which its server was not told yet, and the next, which waits.
-        self.untold: dict[int, Hop] = {}
-        self.behind: dict[int, Hop] = {}
+        self.undelivered_cancels: dict[int, Hop] = {}
+        self.waiting_for_cancel: dict[int, Hop] = {}
 
     def update_endpoint(self, name: str, address: tuple[str, int], state: str, started: int = 0) -> None:
         """Discovery's word, by its thread. The endpoints change under the lock under which attempts get their connections: a connection
@@ -156,8 +156,8 @@
         with self.lock:
             if hop.ended:
                 return False  # its name was taken out of the lane by who gave it up
-            if hop.ident in self.untold and self.untold[hop.ident].lane is not hop.connection:
-                self.behind[hop.ident] = hop
+            if hop.ident in self.undelivered_cancels and self.undelivered_cancels[hop.ident].lane is not hop.connection:
+                self.waiting_for_cancel[hop.ident] = hop
                 return False
             refusal = self.rules.refusal(hop, now)
             if refusal is None:
@@ -193,9 +193,9 @@
     def cancel_delivered(self, hop: Hop) -> None:
         """The server was told that the hop is given up, or the connection has ended: the txn's next may go."""
         with self.lock:
-            if self.untold.get(hop.ident) is hop:
-                del self.untold[hop.ident]
-            after = self.behind.pop(hop.ident, None)
+            if self.undelivered_cancels.get(hop.ident) is hop:
+                del self.undelivered_cancels[hop.ident]
+            after = self.waiting_for_cancel.pop(hop.ident, None)
         if after is not None:
             after.connection.again(after)
 
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -163,7 +163,7 @@
                 self.retired = True
             if hop.want is not None:
                 with self.send.lock:  # taken inside a connection's lock, never round it
-                    self.send.untold[hop.ident] = hop
+                    self.send.undelivered_cancels[hop.ident] = hop
                 self.words.append(hop)
             if self.retired and not self.open:
                 self.shut()  # its thread may wait for ever, a writer be held up
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -132,12 +132,12 @@
     for one in (free, cut):
         go(send, next_of(one))
     until(lambda: other.wants)
-    assert [want["id"] for want in other.wants] == [free.name] and not send.behind[cut.ident].written_at
+    assert [want["id"] for want in other.wants] == [free.name] and not send.waiting_for_cancel[cut.ident].written_at
     if then == "ends":
         lane.shut()
     cache.go_on.set()
     until(lambda: len(other.wants) == 2)
-    assert other.wants[1]["id"] == cut.name and not send.untold and not send.behind
+    assert other.wants[1]["id"] == cut.name and not send.undelivered_cancels and not send.waiting_for_cancel
     if then == "reads on":
         until(lambda: cache.given_up == [cut.name])
         assert cut.name in [want["id"] for want in cache.wants]
@@ -157,7 +157,7 @@
     go(send, next_of(one))
     held.set()
     until(lambda: other.wants, limit=5)
-    assert not send.untold and not send.behind
+    assert not send.undelivered_cancels and not send.waiting_for_cancel
 
 
 def test_a_server_that_takes_nothing_more_is_told_at_once_where_the_system_has_room():
@@ -177,7 +177,7 @@
     assert lane.draining and not lane.left
     assert send.give_up(last, clock())
     lane.pump()
-    assert not lane.words and not send.untold and lane.draining
+    assert not lane.words and not send.undelivered_cancels and lane.draining
     go(send, next_of(last))
     until(lambda: other.wants)
     assert not cache.given_up
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -157,10 +157,10 @@
             threads[0].join(0.3)
             super().__delitem__(key)
 
-    send.untold = Between({5: first})
+    send.undelivered_cancels = Between({5: first})
     send.cancel_delivered(first)
     threads[0].join()
-    assert send.untold.get(5) is second
+    assert send.undelivered_cancels.get(5) is second
 
 
 def test_each_request_of_one_late_read_has_its_time_from_its_own_coming(run):
