--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -27,7 +27,7 @@
 
     def __init__(self, site: Deployment, open_txns: OpenTxns, answer_sender: AnswerSender, max_connections: int):
         self.site, self.open_txns, self.answer_sender, self.max_connections = site, open_txns, answer_sender, max_connections
-        self.route = None  # set by it
+        self.host = None  # set by it
         self.discovery, self.discovery_checked_at = None, 0  # the board, set by who has both; when a hop last looked at it
         self.rules = AttemptRules(site.connect_timeout)
         self.refusals = ReasonCounter(Refusal)  # attempts that did not go out
@@ -148,7 +148,7 @@
                     return False
                 if found is CLIENT_LEFT:
                     if self.open_txns.withdraw(txn.ident, client_left=True):  # else its reader did so just now
-                        self.route.post(self.route.withdrawn, txn.ident)
+                        self.host.post(self.host.withdrawn, txn.ident)
                     txn = None
             if txn is None:
                 self.refuse(hop, Refusal.CLIENT_LEFT)
@@ -204,7 +204,7 @@
             self.report_end(hop, result)
 
     def report_end(self, hop: Hop, result: str, reply: resp.Reply | None = None, at: int = 0) -> None:
-        self.route.post(self.route.hop_ended, hop, result, (at or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS) - hop.decided_at, reply)
+        self.host.post(self.host.hop_ended, hop, result, (at or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS) - hop.decided_at, reply)
 
     def handle_reply(self, hop: Hop, reply: resp.Reply, at: int, cork: list | None = None) -> None:
         if not self.claim_end(hop):
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -41,7 +41,7 @@
 class RouterHost:
     def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, answer_sender: AnswerSender, send: ConnectionPool):
         self.site, self.open_txns, self.answer_sender, self.sender = site, open_txns, answer_sender, send
-        send.route = self
+        send.host = self
         self.queue: deque = deque()  # bounded by most_queued and the open txns
         self.most_queued = MOST_QUEUED
         self.lock = threading.Lock()  # of the Router, the wheel and all below; taken without waiting
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -459,7 +459,7 @@
         """All that one read brought. Answers to one client go out in one write, and the Router hears of them together."""
         send, window, cork = self.send, decoder.window, []
         self.heard = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-        send.route.gather()
+        send.host.gather()
         try:
             for reply in decoder.filled(size):
                 with self.lock:
@@ -477,7 +477,7 @@
             for client_writer in cork:
                 client_writer.uncork()
             send.answer_sender.undelivered.discard((0, id(self)))
-            send.route.handle()
+            send.host.handle()
 
     def shut(self) -> None:
         if self.sock is None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -648,7 +648,7 @@
         open_txns = OpenTxns()
         open_txns.by_id = Standing()
     send = ConnectionPool(deployment(settings()), open_txns, answer_sender, lanes)
-    send.route = Events()
+    send.host = Events()
     for name, where in {"c0": address, **others}.items():
         host, port = where.split(":")
         send.update_endpoint(name, (host, int(port)), state if name == "c0" else "up")
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -101,7 +101,7 @@
     hop = taken(send, ClientWriter(here, encode, send.answer_sender))
     send.open_txns.withdraw(5)
     send.enqueue(hop).pump()
-    assert [about[:2] for about in until(lambda: send.route.posted)] == [(hop, "unsent")] and not hop.written_at and not cache.wants
+    assert [about[:2] for about in until(lambda: send.host.posted)] == [(hop, "unsent")] and not hop.written_at and not cache.wants
     here.close(), there.close()
 
 
@@ -121,7 +121,7 @@
     assert poll.poll(2000)
     lane = send.enqueue(hop)
     lane.pump()
-    until(lambda: any(about[:2] == (hop, "unsent") for about in send.route.posted))
+    until(lambda: any(about[:2] == (hop, "unsent") for about in send.host.posted))
     assert not hop.written_at and not cache.wants and 5 not in send.open_txns.by_id
     here.close(), there.close()
 
@@ -136,13 +136,13 @@
     lane = send.enqueue(hop)
     until(lambda: lane.ready)
     lane.pump()
-    assert not hop.written_at and not send.route.posted and lane.open
+    assert not hop.written_at and not send.host.posted and lane.open
     client_writer.release_waiting()
     assert client_writer.waiting_hops == [hop]  # its reader has worked off something, but not read on
     client_writer.processed_bytes += len(here.recv(100))  # its reader has its turn
     send.open_txns.withdraw(5)
     client_writer.release_waiting()
-    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not cache.wants and not client_writer.waiting_hops
+    assert [about[:2] for about in send.host.posted] == [(hop, "unsent")] and not cache.wants and not client_writer.waiting_hops
     here.close(), there.close()
 
 
@@ -470,7 +470,7 @@
     lane = send.enqueue(hop)
     until(lambda: lane.ready)
     lane.pump()
-    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not hop.written_at and not cache.wants
+    assert [about[:2] for about in send.host.posted] == [(hop, "unsent")] and not hop.written_at and not cache.wants
 
 
 def test_a_client_that_has_gone_leaves_no_cycle_behind():
@@ -641,7 +641,7 @@
     while not in_time and clock() <= hop.go_by:
         time.sleep(0.005)
     dial.set()
-    assert until(lambda: send.route.posted)[0][:2] == (hop, "completed" if in_time else "unsent")
+    assert until(lambda: send.host.posted)[0][:2] == (hop, "completed" if in_time else "unsent")
     assert bool(hop.written_at) == in_time == bool(cache.wants)
 
 
@@ -651,15 +651,15 @@
     send = sender(cache.address, open_txns=OpenTxns())
     lane = send.enqueue(keyed(send, clock() + 20_000 * MS))
     lane.pump()
-    until(lambda: send.route.posted)
+    until(lambda: send.host.posted)
     cache.go_on.clear()
     lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     hop = keyed(send, clock() + 300 * MS, 6, b"w" * 1_000_000)
     assert send.enqueue(hop) is lane
     lane.pump()
     until(lambda: lane.draining)
-    until(lambda: len(send.route.posted) == 2, limit=5)
-    assert send.route.posted[1][:2] == (hop, "unsent") and clock() >= hop.go_by - 2 * MS  # whole ms are waited
+    until(lambda: len(send.host.posted) == 2, limit=5)
+    assert send.host.posted[1][:2] == (hop, "unsent") and clock() >= hop.go_by - 2 * MS  # whole ms are waited
     cache.go_on.set()
     until(lambda: lane.closed)
     time.sleep(0.05)
@@ -680,7 +680,7 @@
     first.heard = clock() - 50 * MS
     assert send.enqueue(hop) is first
     first.pump()
-    assert [about[:2] for about in send.route.posted] == [(hop, "unsent")] and not hop.written_at
+    assert [about[:2] for about in send.host.posted] == [(hop, "unsent")] and not hop.written_at
     again = taken(send, stays(send), ident=6)
     second = send.enqueue(again)
     assert second is not first
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -184,7 +184,7 @@
                 patched.setattr(lane_module, "socket", SimpleNamespace(**vars(socket) | {"socket": failing(socket.socket, numbers)}))
             send.enqueue(attempt).pump()
             until(lambda: cache.wants, limit=3)
-        assert not numbers and not send.route.posted
+        assert not numbers and not send.host.posted
 
 
 def failing(real, numbers):
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -100,7 +100,7 @@
     """A connection with a hop that was answered, a server that stopped reading, and hops behind that wait."""
     first = hop(1)
     lane = go(send, first)
-    until(lambda: send.route.posted)
+    until(lambda: send.host.posted)
     cache.go_on.clear()
     lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     hops = [hop(n, body=b"w" * 48_000, **about) for n in range(2, 2 + count)]
@@ -166,7 +166,7 @@
     send = sender(cache.address, c1=other.address)
     first = hop(1)
     lane = go(send, first)
-    until(lambda: send.route.posted)
+    until(lambda: send.host.posted)
     cache.go_on.clear()
     hops = [hop(n, body=b"w" * 2000) for n in range(2, 3000)]
     for one in hops:
@@ -206,7 +206,7 @@
     assert 0 < len(begun) < len(hops) - 5
     CHANGES[change](send)
     send.refuse_stale_hops()
-    ends = {about[0]: about[1] for about in send.route.posted[1:]}
+    ends = {about[0]: about[1] for about in send.host.posted[1:]}
     assert ends == {one: "unsent" for one in hops if one not in begun}
     late = hop(900, source="p0")  # decided before the change, put in after it
     send.enqueue(late)
@@ -217,7 +217,7 @@
         late.connection.pump()
     time.sleep(0.05)
     assert [w["id"] for w in cache.wants] == ["%016x" % 1] + [one.name for one in begun]
-    assert not late.written_at and (late, "unsent") in [about[:2] for about in send.route.posted]
+    assert not late.written_at and (late, "unsent") in [about[:2] for about in send.host.posted]
 
 
 def test_a_purge_does_not_take_back_what_was_decided_with_it_nor_another_group():
@@ -279,7 +279,7 @@
     cache = Stalled()
     send = sender(cache.address)
     lane = go(send, hop(1))
-    until(lambda: send.route.posted)
+    until(lambda: send.host.posted)
     cache.go_on.clear()
     large = hop(2, body=b"w" * 200_000)
     assert go(send, large) is lane
@@ -290,7 +290,7 @@
     assert not after.written_at and list(lane.queue) == [after]
     send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
     send.refuse_stale_hops()
-    assert send.route.posted[-1][:2] == (after, "unsent")
+    assert send.host.posted[-1][:2] == (after, "unsent")
     cache.go_on.set()
     until(lambda: len(cache.wants) == 2 and not lane.draining)
     assert [w["id"] for w in cache.wants] == ["%016x" % 1, large.name]
@@ -308,10 +308,10 @@
     one = hop(1)
     lane = go(send, one)
     time.sleep(0.05)
-    assert not lane.ready and not send.route.posted
+    assert not lane.ready and not send.host.posted
     send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
     send.refuse_stale_hops()
-    assert [about[:2] for about in send.route.posted] == [(one, "unsent")] and not lane.open
+    assert [about[:2] for about in send.host.posted] == [(one, "unsent")] and not lane.open
     full.close()
     for other in crowd:
         other.close()
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -62,7 +62,7 @@
     lane = send.enqueue(attempt)
     if lane is not None:
         lane.pump()
-    assert [about[:2] for about in until(lambda: send.route.posted)] == [(attempt, "unsent")]
+    assert [about[:2] for about in until(lambda: send.host.posted)] == [(attempt, "unsent")]
     removal.join()
     assert not attempt.written_at and not cache.wants
 
@@ -158,7 +158,7 @@
     host, port = new.address.split(":")
     send.update_endpoint("c0", (host, int(port)), "up")
     dialled.set()
-    assert [about[:2] for about in until(lambda: send.route.posted)] == [(attempt, "unsent")]
+    assert [about[:2] for about in until(lambda: send.host.posted)] == [(attempt, "unsent")]
     assert not attempt.written_at and not old.wants
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -178,7 +178,7 @@
     assert not seen
     gate.set()
     until(lambda: len(seen) == 90)
-    assert seen == [(hop.name, 48_000) for hop in hops] and not lane.draining and not send.route.posted
+    assert seen == [(hop.name, 48_000) for hop in hops] and not lane.draining and not send.host.posted
 
 
 def test_a_connection_that_breaks_under_half_a_write_says_which_hop_never_ran():
@@ -197,8 +197,8 @@
     assert lane.draining
     until(lambda: quiet.conns)
     quiet.reset()
-    until(lambda: lane.closed and len(send.route.posted) == 1 + bodies.index(hop) + 1)
-    ends = {about[0].name: about[1] for about in send.route.posted}
+    until(lambda: lane.closed and len(send.host.posted) == 1 + bodies.index(hop) + 1)
+    ends = {about[0].name: about[1] for about in send.host.posted}
     assert ends["a" * 16] == "broken" and ends[hop.name] in ("unsent", "broken") and set(ends.values()) <= set(RESULTS)
 
 
@@ -212,7 +212,7 @@
     assert send.enqueue(other) is lane
     send.update_endpoint("c0", ("", 0), "gone")
     lane.pump()
-    assert [about[:2] for about in send.route.posted] == [(other, "unsent")] and "b" * 16 not in lane.open
+    assert [about[:2] for about in send.host.posted] == [(other, "unsent")] and "b" * 16 not in lane.open
 
 
 def test_an_answer_that_comes_while_its_hop_is_still_being_written_counts_once():
@@ -232,8 +232,8 @@
     hop = Hop(1, 0, "a" * 16, "c0", None, want("a" * 16, b"w" * 48_000), clock())
     lane = go(send, hop)
     until(seen.is_set)
-    until(lambda: send.route.posted)
-    assert send.route.posted[0][:2] == (hop, "error") and len(send.route.posted) == 1 and not lane.open
+    until(lambda: send.host.posted)
+    assert send.host.posted[0][:2] == (hop, "error") and len(send.host.posted) == 1 and not lane.open
     assert not send.give_up(hop, clock())
 
 
@@ -264,7 +264,7 @@
         lane.replies(decoder, len(data))
     finally:
         ClientWriter.uncork = put
-    assert seen == [(3, False, False)] * 2 and send.answer_sender.all_delivered() and len(send.route.posted) == 6
+    assert seen == [(3, False, False)] * 2 and send.answer_sender.all_delivered() and len(send.host.posted) == 6
     for n, (_, there) in enumerate(pairs):
         there.setblocking(False)
         assert there.recv(4000) == b"".join(
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -529,7 +529,7 @@
     cache = Cache()
     send = sender(cache.address, state)
     hop = go(send, Hop(0, 1, "busy-1", "c0", source, None, clock()))
-    assert until(lambda: send.route.posted)[0][:2] == (hop, result) and result in RESULTS and not cache.wants
+    assert until(lambda: send.host.posted)[0][:2] == (hop, result) and result in RESULTS and not cache.wants
 
 
 def test_each_hop_ends_once_however_many_things_end_it():
@@ -542,7 +542,7 @@
     quiet.reset()
     until(lambda: lane.closed)
     send.end_hop(hop, "broken")
-    assert not send.route.posted
+    assert not send.host.posted
 
 
 def test_hops_are_spread_where_connections_break_and_share_one_where_they_do_not():
@@ -553,15 +553,15 @@
     until(lambda: all(hop.written_at for hop in calm))
     assert len({hop.connection for hop in calm}) == 1
     calm[0].connection.shut()
-    until(lambda: len(send.route.posted) == 40)
-    send.route.posted.clear()
+    until(lambda: len(send.host.posted) == 40)
+    send.host.posted.clear()
     hops = [probe(send, f"busy-{n}") for n in range(40)]
     until(lambda: all(hop.written_at for hop in hops))
     lanes = {hop.connection for hop in hops}
     assert max(len(lane.open) for lane in lanes) == 10 and len(lanes) == 4  # the other half is for other servers
     hops[0].connection.shut()
-    until(lambda: len(send.route.posted) == 10)
-    assert {about[1] for about in send.route.posted} == {"broken"}
+    until(lambda: len(send.host.posted) == 10)
+    assert {about[1] for about in send.host.posted} == {"broken"}
 
 
 def test_a_lag_is_forgotten_with_time_whatever_the_traffic():
@@ -597,7 +597,7 @@
     """Found at a restart: the book was empty, and the program ended before its last answer was written."""
     answer_sender, open_txns, seen = AnswerSender(1 << 20), OpenTxns(), []
     send = ConnectionPool(deployment(settings()), open_txns, answer_sender, 4)
-    send.route = Events()
+    send.host = Events()
     client_writer = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.all_delivered(), dict(open_txns.by_id))))
     open_txns.add(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, client_writer, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
