--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -92,9 +92,9 @@
     """One connection to a server. Its own thread connects and reads. What goes out is written at once, without waiting,
     by the thread that has it; only what the socket does not take is left to a thread made for that."""
 
-    def __init__(self, send: ConnectionPool, server: str, address: tuple[str, int], patient: bool = False):
+    def __init__(self, pool: ConnectionPool, server: str, address: tuple[str, int], patient: bool = False):
         """Raises OSError where the system gives no socket now, unless `patient`: then that is tried again while it dials."""
-        self.send, self.server, self.address = send, server, address
+        self.pool, self.server, self.address = pool, server, address
         self.queue: deque = deque()  # hops to be written; bounded by the hops open here
         self.words: deque = deque()  # hops given up, of which the server is to be told first
         self.saying: list[Hop] = []  # those of which a word has begun, and the rest is in `left`
@@ -129,7 +129,7 @@
             or self.retired
             or hop.name in self.open
             or (self.used.get(hop.name) or self.older.get(hop.name, hop.ident)) != hop.ident
-            or len(self.open) >= self.send.site.most_hops
+            or len(self.open) >= self.pool.site.most_hops
         )
 
     def use_up(self, hop: Hop, by: int) -> None:
@@ -159,11 +159,11 @@
             if not hop.written_at or self.closed:
                 return
             self.use_up(hop, -1)
-            if self.heard < hop.written_at and now - hop.written_at > self.send.site.connect_timeout:
+            if self.heard < hop.written_at and now - hop.written_at > self.pool.site.connect_timeout:
                 self.retired = True
             if hop.want is not None:
-                with self.send.lock:  # taken inside a connection's lock, never round it
-                    self.send.undelivered_cancels[hop.ident] = hop
+                with self.pool.lock:  # taken inside a connection's lock, never round it
+                    self.pool.undelivered_cancels[hop.ident] = hop
                 self.words.append(hop)
             if self.retired and not self.open:
                 self.shut()  # its thread may wait for ever, a writer be held up
@@ -171,14 +171,14 @@
     def refuse_stale_hops(self) -> None:
         """Hops that wait here and may not go out any more are taken back at once: they never ran."""
         for hop in list(self.queue):
-            refusal = self.send.rules.refusal(hop, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
+            refusal = self.pool.rules.refusal(hop, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
             if refusal is None:
                 continue
             try:
                 self.queue.remove(hop)
             except ValueError:
                 continue  # a writer has it, and looks by itself
-            self.send.refuse(hop, refusal)
+            self.pool.refuse(hop, refusal)
 
     def pump(self) -> None:
         """Write what waits here. Whoever finds another at it leaves: that one looks again before it goes."""
@@ -227,7 +227,7 @@
     def told(self) -> None:
         hops, self.saying = self.saying, []
         for hop in hops:
-            self.send.cancel_delivered(hop)
+            self.pool.cancel_delivered(hop)
 
     def write(self) -> tuple[list, Hop | None, bool]:
         """One write of what waits: what is left of a message that was cut, its hop, and whether the socket is full.
@@ -236,14 +236,14 @@
             if not self.poll().poll(0):
                 return [], None, True
             self.past = False
-        if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.send.discovery_checked_at > LOOK_BOARD:
-            self.send.wait_for_discovery()  # before any is looked at: nothing may wait between the look at one and its write
+        if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.pool.discovery_checked_at > LOOK_BOARD:
+            self.pool.wait_for_discovery()  # before any is looked at: nothing may wait between the look at one and its write
         try:  # as `next_attempt`, without a call in the ordinary case
             hop = self.queue.popleft()
         except IndexError:
             return (), None, False
         if hop.want is not None and not self.queue:  # the ordinary case of what follows
-            if not self.send.start_attempt(hop):
+            if not self.pool.start_attempt(hop):
                 return (), None, False
             data = resp.want(hop.want)
             try:
@@ -254,7 +254,7 @@
             return self.put_back([(hop, data)], left) if left else ((), None, False)
         messages = []
         while hop is not None:
-            if self.send.start_attempt(hop):
+            if self.pool.start_attempt(hop):
                 messages.append((hop, resp.want(hop.want) if hop.want else (resp.probe(hop.name),)))
             hop = self.next_attempt() if len(messages) < MOST_AT_ONCE else None
         if not messages:
@@ -384,7 +384,7 @@
             self.end()
 
     def connect_and_read(self) -> None:
-        site = self.send.site
+        site = self.pool.site
         try:
             self.dial()
             self.sock.settimeout(None)
@@ -402,7 +402,7 @@
     def dial(self) -> None:
         """Connects, within the time that a dial may take. What fails on this machine is tried again meanwhile: it says nothing of the
         server. Raises OSError."""
-        until = time.monotonic() + self.send.site.connect_timeout / 1e9
+        until = time.monotonic() + self.pool.site.connect_timeout / 1e9
         while True:
             try:
                 if self.sock is None:
@@ -422,8 +422,8 @@
                 and not self.queue
                 and (
                     self.retired
-                    or self.server not in self.send.endpoints
-                    or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.heard > self.send.site.idle_close * 0.75
+                    or self.server not in self.pool.endpoints
+                    or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.heard > self.pool.site.idle_close * 0.75
                 )
             )
             if self.closed:
@@ -444,7 +444,7 @@
         try:
             while size := self.receive(decoder):
                 self.replies(decoder, size)
-                if self.retired or self.server not in self.send.endpoints:
+                if self.retired or self.server not in self.pool.endpoints:
                     self.look()
         except OSError as wrong:
             how, why = end_of(wrong), wrong.strerror or type(wrong).__name__
@@ -457,9 +457,9 @@
 
     def replies(self, decoder: resp.Decoder, size: int) -> None:
         """All that one read brought. Answers to one client go out in one write, and the Router hears of them together."""
-        send, window, cork = self.send, decoder.window, []
+        pool, window, cork = self.pool, decoder.window, []
         self.heard = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-        send.host.gather()
+        pool.host.gather()
         try:
             for reply in decoder.filled(size):
                 with self.lock:
@@ -469,15 +469,15 @@
                 if hop is None:
                     continue  # given up, and crossed
                 if cork or window.end > window.start:  # else it is the only one
-                    send.answer_sender.undelivered.add((0, id(self)))
-                    send.handle_reply(hop, reply, now, cork)
+                    pool.answer_sender.undelivered.add((0, id(self)))
+                    pool.handle_reply(hop, reply, now, cork)
                 else:
-                    send.handle_reply(hop, reply, now)
+                    pool.handle_reply(hop, reply, now)
         finally:
             for client_writer in cork:
                 client_writer.uncork()
-            send.answer_sender.undelivered.discard((0, id(self)))
-            send.host.handle()
+            pool.answer_sender.undelivered.discard((0, id(self)))
+            pool.host.handle()
 
     def shut(self) -> None:
         if self.sock is None:
@@ -489,13 +489,13 @@
 
     def end(self, unwritten: str = "unsent", how: ConnectionEnd = ConnectionEnd.OTHER, why: str = "") -> None:
         """What was not written never ran; only a connection that did not come up speaks against the server."""
-        self.send.connection_ends.add(how)
+        self.pool.connection_ends.add(how)
         with self.lock:
             self.closed = True
             hops = list(self.open.values())
             self.open.clear()
         self.shut()
-        self.send.remove_connection(self)
+        self.pool.remove_connection(self)
         with self.writing:  # a write under way uses the descriptor; none waits in there
             if self.sock is not None:
                 self.sock.close()
@@ -517,6 +517,6 @@
             },
         )
         if any(hop.written_at for hop in hops):
-            self.send.last_break_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
+            self.pool.last_break_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         for hop in hops:
-            self.send.end_hop(hop, "broken" if hop.written_at else unwritten)
+            self.pool.end_hop(hop, "broken" if hop.written_at else unwritten)
