--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -96,8 +96,8 @@
         """Raises OSError where the system gives no socket now, unless `patient`: then that is tried again while it dials."""
         self.pool, self.server, self.address = pool, server, address
         self.queue: deque = deque()  # hops to be written; bounded by the hops open here
-        self.words: deque = deque()  # hops given up, of which the server is to be told first
-        self.saying: list[Hop] = []  # those of which a word has begun, and the rest is in `left`
+        self.cancels: deque = deque()  # hops given up, of which the server is to be told first
+        self.cancels_in_write: list[Hop] = []  # those of which a word has begun, and the rest is in `left`
         self.left: list = []  # of what has begun and the socket did not take; nothing else is written before
         self.cut: Hop | None = None  # the hop that `left` belongs to
         self.open: dict[str, Hop] = {}
@@ -164,7 +164,7 @@
             if hop.want is not None:
                 with self.pool.lock:  # taken inside a connection's lock, never round it
                     self.pool.undelivered_cancels[hop.ident] = hop
-                self.words.append(hop)
+                self.cancels.append(hop)
             if self.retired and not self.open:
                 self.shut()  # its thread may wait for ever, a writer be held up
 
@@ -182,14 +182,14 @@
 
     def pump(self) -> None:
         """Write what waits here. Whoever finds another at it leaves: that one looks again before it goes."""
-        while self.ready and not self.left and (self.words or self.queue and not self.draining):
+        while self.ready and not self.left and (self.cancels or self.queue and not self.draining):
             if not self.writing.acquire(False):
                 return
             try:
                 full = False
                 if self.left:
                     continue  # begun by another since the look
-                if self.words:
+                if self.cancels:
                     full = self.say()
                 elif not self.draining:
                     self.left, self.cut, full = self.write()
@@ -210,9 +210,9 @@
         """Tells the server what was given up; whether something is left. Guards against a server that reads on after it took nothing
         for a while, finds a hop that was given up, and its end behind what waits for room here, while the next attempt is out
         elsewhere: past the mark the words lie right behind that hop."""
-        while self.words:
-            self.saying.append(self.words.popleft())
-        data = b"".join([resp.never_mind(hop.name) for hop in self.saying if hop.written_at])  # others never went out
+        while self.cancels:
+            self.cancels_in_write.append(self.cancels.popleft())
+        data = b"".join([resp.never_mind(hop.name) for hop in self.cancels_in_write if hop.written_at])  # others never went out
         left = write_nonblocking(self.sock, (data,)) if data else ()
         if left:
             self.past = True
@@ -225,7 +225,7 @@
         return bool(left)
 
     def told(self) -> None:
-        hops, self.saying = self.saying, []
+        hops, self.cancels_in_write = self.cancels_in_write, []
         for hop in hops:
             self.pool.cancel_delivered(hop)
 
@@ -499,8 +499,8 @@
         with self.writing:  # a write under way uses the descriptor; none waits in there
             if self.sock is not None:
                 self.sock.close()
-            self.saying.extend(self.words)
-            self.words.clear()
+            self.cancels_in_write.extend(self.cancels)
+            self.cancels.clear()
         self.told()  # by its end
         log.info(
             "connection",
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -177,7 +177,7 @@
     assert lane.draining and not lane.left
     assert send.give_up(last, clock())
     lane.pump()
-    assert not lane.words and not send.undelivered_cancels and lane.draining
+    assert not lane.cancels and not send.undelivered_cancels and lane.draining
     go(send, next_of(last))
     until(lambda: other.wants)
     assert not cache.given_up
