--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -98,8 +98,8 @@
         self.queue: deque = deque()  # hops to be written; bounded by the hops open here
         self.cancels: deque = deque()  # hops given up, of which the server is to be told first
         self.cancels_in_write: list[Hop] = []  # those of which a word has begun, and the rest is in `left`
-        self.left: list = []  # of what has begun and the socket did not take; nothing else is written before
-        self.cut: Hop | None = None  # the hop that `left` belongs to
+        self.unwritten: list = []  # of what has begun and the socket did not take; nothing else is written before
+        self.partial_hop: Hop | None = None  # the hop that `left` belongs to
         self.open: dict[str, Hop] = {}
         self.used: dict[str, int] = {}  # names that must not be used again, for a further answer may come: of
         # one given up on by nobody, of one answered by no other txn
@@ -182,17 +182,17 @@
 
     def pump(self) -> None:
         """Write what waits here. Whoever finds another at it leaves: that one looks again before it goes."""
-        while self.ready and not self.left and (self.cancels or self.queue and not self.draining):
+        while self.ready and not self.unwritten and (self.cancels or self.queue and not self.draining):
             if not self.writing.acquire(False):
                 return
             try:
                 full = False
-                if self.left:
+                if self.unwritten:
                     continue  # begun by another since the look
                 if self.cancels:
                     full = self.say()
                 elif not self.draining:
-                    self.left, self.cut, full = self.write()
+                    self.unwritten, self.partial_hop, full = self.write()
                 if full and not self.draining:
                     self.draining = True
                     threading.Thread(target=self.drain, name="lane-rest", daemon=True).start()
@@ -219,7 +219,7 @@
             keep_little(self.sock, ANY)
             left = write_nonblocking(self.sock, left)
             keep_little(self.sock)
-        self.left = left
+        self.unwritten = left
         if not left:
             self.told()
         return bool(left)
@@ -325,24 +325,24 @@
         """Guards against a server that reads slowly: this thread waits for it, and nobody else does."""
         try:
             while True:
-                if self.left:
-                    cut = self.cut
+                if self.unwritten:
+                    cut = self.partial_hop
                     keep_little(self.sock, ANY)
                     keyed = cut is not None and cut.number and cut.want is not None and cut.want.key
-                    self.finish(list(self.left), cut.go_by if keyed else NEVER)
+                    self.finish(list(self.unwritten), cut.go_by if keyed else NEVER)
                     keep_little(self.sock)
                     self.told()  # before others may say something
-                    self.left, self.cut = [], None
+                    self.unwritten, self.partial_hop = [], None
                     self.pump()  # words that came meanwhile
                 if not self.room():
                     raise OSError("ended")
                 with self.writing:
-                    if self.left:
+                    if self.unwritten:
                         continue  # of words that others have begun
                     if not self.queue or self.closed:
                         self.draining = False
                         break
-                    self.left, self.cut, _ = self.write()
+                    self.unwritten, self.partial_hop, _ = self.write()
         except (OSError, ValueError):
             self.broken_off()
         except Exception:
@@ -352,8 +352,8 @@
 
     def broken_off(self) -> None:
         """What was cut off in its middle is not whole at the server: it never ran."""
-        if self.cut is not None:
-            self.cut.written_at = 0
+        if self.partial_hop is not None:
+            self.partial_hop.written_at = 0
         self.shut()
 
     def finish(self, left: list, go_by: int) -> None:
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -123,8 +123,8 @@
     cache, other = Stalled(), Cache(lambda want: None)
     send = sender(cache.address, c1=other.address)
     lane, hops = fill(send, cache)
-    cut = lane.cut
-    assert lane.left and cut.written_at
+    cut = lane.partial_hop
+    assert lane.unwritten and cut.written_at
     free = next(one for one in hops if not one.written_at)  # never went out: nobody need be told
     for one in (cut, free):
         assert send.give_up(one, clock())
@@ -174,7 +174,7 @@
             break
         go(send, one)
     last = [one for one in hops if one.written_at][-1]
-    assert lane.draining and not lane.left
+    assert lane.draining and not lane.unwritten
     assert send.give_up(last, clock())
     lane.pump()
     assert not lane.cancels and not send.undelivered_cancels and lane.draining
