--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -75,7 +75,7 @@
                 return None
             lanes = self.connections.setdefault(hop.server, [])
             free = [lane for lane in lanes if lane.takes(hop)]
-            best = min(free, key=lambda lane: len(lane.open)) if free else None
+            best = min(free, key=lambda lane: len(lane.open_hops)) if free else None
             breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_break_at < self.site.idle_close
             if best is not None and (
                 not best.open or len(lanes) >= (LANES if breaking else 1) or self.unlocked_count() >= self.max_connections // 2
@@ -179,7 +179,7 @@
         if log.isEnabledFor(logging.DEBUG):
             log.debug("refused", extra={"kv": {"txn": hop.name, "attempt": hop.number, "server": hop.server, "why": reason.value}})
         with hop.connection.lock:
-            hop.connection.open.pop(hop.name, None)
+            hop.connection.open_hops.pop(hop.name, None)
         self.end_hop(hop, "unsent")
 
     def give_up(self, hop: Hop, now: int) -> bool:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -100,7 +100,7 @@
         self.cancels_in_write: list[Hop] = []  # those of which a word has begun, and the rest is in `left`
         self.unwritten: list = []  # of what has begun and the socket did not take; nothing else is written before
         self.partial_hop: Hop | None = None  # the hop that `left` belongs to
-        self.open: dict[str, Hop] = {}
+        self.open_hops: dict[str, Hop] = {}
         self.used: dict[str, int] = {}  # names that must not be used again, for a further answer may come: of
         # one given up on by nobody, of one answered by no other txn
         self.older: dict[str, int] = {}  # those used before, forgotten together
@@ -127,9 +127,9 @@
         return not (
             self.closed
             or self.retired
-            or hop.name in self.open
+            or hop.name in self.open_hops
             or (self.used.get(hop.name) or self.older.get(hop.name, hop.ident)) != hop.ident
-            or len(self.open) >= self.pool.site.most_hops
+            or len(self.open_hops) >= self.pool.site.most_hops
         )
 
     def use_up(self, hop: Hop, by: int) -> None:
@@ -143,7 +143,7 @@
             if self.closed or not sure and not self.takes(hop):
                 return False
             hop.connection, hop.address = self, self.address
-            self.open[hop.name] = hop
+            self.open_hops[hop.name] = hop
             self.queue.append(hop)
             return True
 
@@ -155,7 +155,7 @@
     def drop(self, hop: Hop, now: int) -> None:
         """A hop was given up; a connection on which nothing came since it was written is not used again."""
         with self.lock:
-            self.open.pop(hop.name, None)
+            self.open_hops.pop(hop.name, None)
             if not hop.written_at or self.closed:
                 return
             self.use_up(hop, -1)
@@ -165,7 +165,7 @@
                 with self.pool.lock:  # taken inside a connection's lock, never round it
                     self.pool.undelivered_cancels[hop.ident] = hop
                 self.cancels.append(hop)
-            if self.retired and not self.open:
+            if self.retired and not self.open_hops:
                 self.shut()  # its thread may wait for ever, a writer be held up
 
     def refuse_stale_hops(self) -> None:
@@ -418,7 +418,7 @@
         """Ends the connection where nothing is open and it is idle, retired or to a server that is gone."""
         with self.lock:
             self.closed |= (
-                not self.open
+                not self.open_hops
                 and not self.queue
                 and (
                     self.retired
@@ -463,7 +463,7 @@
         try:
             for reply in decoder.filled(size):
                 with self.lock:
-                    hop = self.open.pop(reply.ident, None)
+                    hop = self.open_hops.pop(reply.ident, None)
                     if hop is not None:
                         self.use_up(hop, hop.ident)
                 if hop is None:
@@ -492,8 +492,8 @@
         self.pool.connection_ends.add(how)
         with self.lock:
             self.closed = True
-            hops = list(self.open.values())
-            self.open.clear()
+            hops = list(self.open_hops.values())
+            self.open_hops.clear()
         self.shut()
         self.pool.remove_connection(self)
         with self.writing:  # a write under way uses the descriptor; none waits in there
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -136,7 +136,7 @@
     lane = send.enqueue(hop)
     until(lambda: lane.ready)
     lane.pump()
-    assert not hop.written_at and not send.host.posted and lane.open
+    assert not hop.written_at and not send.host.posted and lane.open_hops
     client_writer.release_waiting()
     assert client_writer.waiting_hops == [hop]  # its reader has worked off something, but not read on
     client_writer.processed_bytes += len(here.recv(100))  # its reader has its turn
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -311,7 +311,7 @@
     assert not lane.ready and not send.host.posted
     send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
     send.refuse_stale_hops()
-    assert [about[:2] for about in send.host.posted] == [(one, "unsent")] and not lane.open
+    assert [about[:2] for about in send.host.posted] == [(one, "unsent")] and not lane.open_hops
     full.close()
     for other in crowd:
         other.close()
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -212,7 +212,7 @@
     assert send.enqueue(other) is lane
     send.update_endpoint("c0", ("", 0), "gone")
     lane.pump()
-    assert [about[:2] for about in send.host.posted] == [(other, "unsent")] and "b" * 16 not in lane.open
+    assert [about[:2] for about in send.host.posted] == [(other, "unsent")] and "b" * 16 not in lane.open_hops
 
 
 def test_an_answer_that_comes_while_its_hop_is_still_being_written_counts_once():
@@ -233,7 +233,7 @@
     lane = go(send, hop)
     until(seen.is_set)
     until(lambda: send.host.posted)
-    assert send.host.posted[0][:2] == (hop, "error") and len(send.host.posted) == 1 and not lane.open
+    assert send.host.posted[0][:2] == (hop, "error") and len(send.host.posted) == 1 and not lane.open_hops
     assert not send.give_up(hop, clock())
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -558,7 +558,7 @@
     hops = [probe(send, f"busy-{n}") for n in range(40)]
     until(lambda: all(hop.written_at for hop in hops))
     lanes = {hop.connection for hop in hops}
-    assert max(len(lane.open) for lane in lanes) == 10 and len(lanes) == 4  # the other half is for other servers
+    assert max(len(lane.open_hops) for lane in lanes) == 10 and len(lanes) == 4  # the other half is for other servers
     hops[0].connection.shut()
     until(lambda: len(send.host.posted) == 10)
     assert {about[1] for about in send.host.posted} == {"broken"}
