--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -104,7 +104,7 @@
         self.used: dict[str, int] = {}  # names that must not be used again, for a further answer may come: of
         # one given up on by nobody, of one answered by no other txn
         self.older: dict[str, int] = {}  # those used before, forgotten together
-        self.heard, self.closed, self.retired = 0, False, False
+        self.last_received_at, self.closed, self.retired = 0, False, False
         self.ready = False  # connected
         self.lock = threading.Lock()
         self.writing = threading.Lock()  # held by whoever writes; nobody waits for it
@@ -159,7 +159,7 @@
             if not hop.written_at or self.closed:
                 return
             self.use_up(hop, -1)
-            if self.heard < hop.written_at and now - hop.written_at > self.pool.site.connect_timeout:
+            if self.last_received_at < hop.written_at and now - hop.written_at > self.pool.site.connect_timeout:
                 self.retired = True
             if hop.want is not None:
                 with self.pool.lock:  # taken inside a connection's lock, never round it
@@ -394,7 +394,7 @@
             keep_little(self.sock)
         except OSError as wrong:  # not established
             return self.end("unreachable" if speaks_against_server(wrong.errno) else "unsent", end_of(wrong), wrong.strerror or "timed out")
-        self.heard = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
+        self.last_received_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         self.ready = True
         self.pump()
         self.read()
@@ -423,7 +423,7 @@
                 and (
                     self.retired
                     or self.server not in self.pool.endpoints
-                    or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.heard > self.pool.site.idle_close * 0.75
+                    or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_received_at > self.pool.site.idle_close * 0.75
                 )
             )
             if self.closed:
@@ -458,7 +458,7 @@
     def replies(self, decoder: resp.Decoder, size: int) -> None:
         """All that one read brought. Answers to one client go out in one write, and the Router hears of them together."""
         pool, window, cork = self.pool, decoder.window, []
-        self.heard = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
+        self.last_received_at = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         pool.host.gather()
         try:
             for reply in decoder.filled(size):
