--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -105,7 +105,7 @@
         # one given up on by nobody, of one answered by no other txn
         self.older: dict[str, int] = {}  # those used before, forgotten together
         self.last_received_at, self.closed, self.retired = 0, False, False
-        self.ready = False  # connected
+        self.connected = False  # connected
         self.lock = threading.Lock()
         self.writing = threading.Lock()  # held by whoever writes; nobody waits for it
         self.draining = False  # a thread waits for the socket to take what is left of a write
@@ -182,7 +182,7 @@
 
     def pump(self) -> None:
         """Write what waits here. Whoever finds another at it leaves: that one looks again before it goes."""
-        while self.ready and not self.unwritten and (self.cancels or self.queue and not self.draining):
+        while self.connected and not self.unwritten and (self.cancels or self.queue and not self.draining):
             if not self.writing.acquire(False):
                 return
             try:
@@ -395,7 +395,7 @@
         except OSError as wrong:  # not established
             return self.end("unreachable" if speaks_against_server(wrong.errno) else "unsent", end_of(wrong), wrong.strerror or "timed out")
         self.last_received_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-        self.ready = True
+        self.connected = True
         self.pump()
         self.read()
 
@@ -512,7 +512,7 @@
                     "open": len(hops),
                     "written": sum(hop.written_at > 0 for hop in hops),
                     "address": "%s:%d" % self.address,
-                    "came_up": int(self.ready),
+                    "came_up": int(self.connected),
                 }
             },
         )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -134,7 +134,7 @@
     hop = taken(send, client_writer, before_ms=50)
     there.sendall(b"\0\0\0\5C\0\0\0\1")
     lane = send.enqueue(hop)
-    until(lambda: lane.ready)
+    until(lambda: lane.connected)
     lane.pump()
     assert not hop.written_at and not send.host.posted and lane.open_hops
     client_writer.release_waiting()
@@ -154,7 +154,7 @@
     hop, other = taken(send, client_writer, before_ms=50), taken(send, stays(send), ident=6, before_ms=50)
     there.sendall(b"more and more")
     lane = send.enqueue(hop)
-    until(lambda: lane.ready)
+    until(lambda: lane.connected)
     assert send.enqueue(other) is lane
     lane.pump()
     until(lambda: cache.wants)
@@ -468,7 +468,7 @@
     hop = taken(send, client_writer, before_ms=50)
     monkeypatch.setattr(client_writer, "check_client", lambda hop: (send.open_txns.withdraw(5, client_left=True), CLIENT_LEFT)[1])
     lane = send.enqueue(hop)
-    until(lambda: lane.ready)
+    until(lambda: lane.connected)
     lane.pump()
     assert [about[:2] for about in send.host.posted] == [(hop, "unsent")] and not hop.written_at and not cache.wants
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -169,7 +169,7 @@
     send.open_txns.by_id.pop(6)
     send.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
     client_writer.release_waiting()
-    assert not attempt.written_at and not cache.wants and lane.ready
+    assert not attempt.written_at and not cache.wants and lane.connected
 
 
 def test_a_dial_that_fails_on_this_machine_for_a_moment_is_tried_again_and_speaks_against_no_server(monkeypatch):
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -255,7 +255,7 @@
     quiet = Listener()
     send = sender(quiet.address)
     lane = go(send, hop(1))
-    until(lambda: lane.ready and not lane.queue)
+    until(lambda: lane.connected and not lane.queue)
     hops = [hop(n) for n in (2, 3, 4)]
     for one in hops:
         one.want.body = b"x" * (500 - sum(map(len, resp.want(one.want))))
@@ -308,7 +308,7 @@
     one = hop(1)
     lane = go(send, one)
     time.sleep(0.05)
-    assert not lane.ready and not send.host.posted
+    assert not lane.connected and not send.host.posted
     send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
     send.refuse_stale_hops()
     assert [about[:2] for about in send.host.posted] == [(one, "unsent")] and not lane.open_hops
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -184,7 +184,7 @@
             before = row(cache, "up") if restarts == "server" else parent
             route.list_told(ListChange(False, (replace(before, started=clock() // MS * MS),)))
             dialled.set()
-            until(lambda: lane.ready)
+            until(lambda: lane.connected)
             time.sleep(0.1)
             assert not cache.wants, restarts
             assert [posted[0] for posted in route.queue] == [route.list_changed, route.hop_ended]
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -170,7 +170,7 @@
     send = sender(cache.address)
     hops = [Hop(n + 1, 0, f"{n:016x}", "c0", None, want(f"{n:016x}", b"w" * 48_000), clock()) for n in range(90)]
     lane = go(send, hops[0])
-    until(lambda: lane.ready)
+    until(lambda: lane.connected)
     lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
     for hop in hops[1:]:
         assert go(send, hop) is lane
@@ -187,7 +187,7 @@
     send = sender(quiet.address)
     first = Hop(1, 0, "a" * 16, "c0", None, want("a" * 16), clock())
     lane = go(send, first)
-    until(lambda: lane.ready and first.written_at)
+    until(lambda: lane.connected and first.written_at)
     lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     bodies = [Hop(n, 0, f"{n:016x}", "c0", None, want(f"{n:016x}", b"w" * 48_000), clock()) for n in range(2, 150)]
     for hop in bodies:
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -42,7 +42,7 @@
     lane = send.enqueue(attempt)
     lane.queue = Emptied(lane.queue)
     dialled.set()
-    until(lambda: lane.ready and lane.queue.emptied)
+    until(lambda: lane.connected and lane.queue.emptied)
     send.enqueue(taken(send, stays(send), ident=6)).pump()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
     assert not failed and contained_errors.log_fields().get("contained_write") == before  # contained is not mended
@@ -55,7 +55,7 @@
     probe = Hop(0, 1, "busy-1", "c0", None, None, clock())
     lane = send.enqueue(probe)
     lane.pump()  # as who hands over an attempt does: the connection may have come up before that waited in it
-    until(lambda: lane.ready)
+    until(lambda: lane.connected)
     until(lambda: not lane.queue)
     failed = []
     finished = threading.Thread(target=lambda: failed.extend(raised_by(lane.drain)))
@@ -100,7 +100,7 @@
     send.discovery_checked_at, send.discovery = 0, SimpleNamespace(caught_up=lambda: order.append("waits"))
     dialled.set()
     until(lambda: len(cache.wants) == 2)
-    assert order == ["waits", 5, 6] and lane.ready
+    assert order == ["waits", 5, 6] and lane.connected
 
 
 def test_a_cancel_that_came_while_its_reader_waited_for_discovery_is_heeded(run):
