--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -107,7 +107,7 @@
         self.last_received_at, self.closed, self.retired = 0, False, False
         self.connected = False  # connected
         self.lock = threading.Lock()
-        self.writing = threading.Lock()  # held by whoever writes; nobody waits for it
+        self.write_lock = threading.Lock()  # held by whoever writes; nobody waits for it
         self.draining = False  # a thread waits for the socket to take what is left of a write
         self.past = False  # a large write was handed over whole, past the mark: see whether there is room again
         self.sock: socket.socket | None = None
@@ -183,7 +183,7 @@
     def pump(self) -> None:
         """Write what waits here. Whoever finds another at it leaves: that one looks again before it goes."""
         while self.connected and not self.unwritten and (self.cancels or self.queue and not self.draining):
-            if not self.writing.acquire(False):
+            if not self.write_lock.acquire(False):
                 return
             try:
                 full = False
@@ -204,7 +204,7 @@
                 self.shut()
                 return
             finally:
-                self.writing.release()
+                self.write_lock.release()
 
     def say(self) -> bool:
         """Tells the server what was given up; whether something is left. Guards against a server that reads on after it took nothing
@@ -336,7 +336,7 @@
                     self.pump()  # words that came meanwhile
                 if not self.room():
                     raise OSError("ended")
-                with self.writing:
+                with self.write_lock:
                     if self.unwritten:
                         continue  # of words that others have begun
                     if not self.queue or self.closed:
@@ -496,7 +496,7 @@
             self.open_hops.clear()
         self.shut()
         self.pool.remove_connection(self)
-        with self.writing:  # a write under way uses the descriptor; none waits in there
+        with self.write_lock:  # a write under way uses the descriptor; none waits in there
             if self.sock is not None:
                 self.sock.close()
             self.cancels_in_write.extend(self.cancels)
