--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -74,7 +74,7 @@
             if endpoint is None:
                 return None
             lanes = self.connections.setdefault(hop.server, [])
-            free = [lane for lane in lanes if lane.takes(hop)]
+            free = [lane for lane in lanes if lane.accepts(hop)]
             best = min(free, key=lambda lane: len(lane.open_hops)) if free else None
             breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_break_at < self.site.idle_close
             if best is not None and (
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -123,7 +123,7 @@
                 self.sock.close()
             raise
 
-    def takes(self, hop: Hop) -> bool:
+    def accepts(self, hop: Hop) -> bool:
         return not (
             self.closed
             or self.retired
@@ -140,7 +140,7 @@
     def put(self, hop: Hop, sure: bool = True) -> bool:
         """The hop waits here for the next `pump`; false where the connection is ending, or, not `sure`, can't take it."""
         with self.lock:
-            if self.closed or not sure and not self.takes(hop):
+            if self.closed or not sure and not self.accepts(hop):
                 return False
             hop.connection, hop.address = self, self.address
             self.open_hops[hop.name] = hop
