--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -59,13 +59,13 @@
     def enqueue(self, hop: Hop) -> ServerConnection | None:
         """The hop waits in the lane given back, to be pumped; its end is reported later, whatever happens."""
         lanes = self.connections.get(hop.server, ())[:2]  # a copy: another thread may take one out
-        if len(lanes) == 1 and not self.last_break_at and hop.server in self.endpoints and lanes[0].put(hop, sure=False):
+        if len(lanes) == 1 and not self.last_break_at and hop.server in self.endpoints and lanes[0].enqueue(hop, sure=False):
             return lanes[0]  # the ordinary case of what follows
         while True:
             lane = self.connection_for(hop)
             if lane is None:
                 return self.end_hop(hop, "unsent")
-            if lane.put(hop):
+            if lane.enqueue(hop):
                 return lane
 
     def connection_for(self, hop: Hop) -> ServerConnection | None:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -137,7 +137,7 @@
         if len(self.used) > MOST_USED:
             self.older, self.used = self.used, {}
 
-    def put(self, hop: Hop, sure: bool = True) -> bool:
+    def enqueue(self, hop: Hop, sure: bool = True) -> bool:
         """The hop waits here for the next `pump`; false where the connection is ending, or, not `sure`, can't take it."""
         with self.lock:
             if self.closed or not sure and not self.accepts(hop):
