--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -112,7 +112,7 @@
                 if self.streams.pop(answer.stream, None) is not None:
                     self.write_or_queue(answer.data)
         for hop in released_hops:
-            hop.connection.again(hop)
+            hop.connection.requeue(hop)
 
     def answer(self, stream: int, answer: Answer, corked_writers: list | None = None, late: bool = False) -> bool:
         """Sends an answer. Returns False if it was not sent: the txn was withdrawn, the client left, or the answer waits for the reader.
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -197,7 +197,7 @@
                 del self.undelivered_cancels[hop.ident]
             after = self.waiting_for_cancel.pop(hop.ident, None)
         if after is not None:
-            after.connection.again(after)
+            after.connection.requeue(after)
 
     def end_hop(self, hop: Hop, result: str) -> None:
         if self.claim_end(hop):
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -147,7 +147,7 @@
             self.queue.append(hop)
             return True
 
-    def again(self, hop: Hop) -> None:
+    def requeue(self, hop: Hop) -> None:
         """A hop that was put by, for its client's reader or for word of the one before, goes on."""
         self.queue.append(hop)
         self.pump()
