--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -187,7 +187,7 @@
         if not self.claim_end(hop):
             return False
         if hop.connection is not None:
-            hop.connection.drop(hop, now)
+            hop.connection.remove_hop(hop, now)
         return True
 
     def cancel_delivered(self, hop: Hop) -> None:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -152,7 +152,7 @@
         self.queue.append(hop)
         self.pump()
 
-    def drop(self, hop: Hop, now: int) -> None:
+    def remove_hop(self, hop: Hop, now: int) -> None:
         """A hop was given up; a connection on which nothing came since it was written is not used again."""
         with self.lock:
             self.open_hops.pop(hop.name, None)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -337,7 +337,7 @@
     send = ConnectionPool(site, open_txns, answer_sender, 4)
     route = RouterHost(site, 1, open_txns, answer_sender, send)
     answered = {}
-    lanes = SimpleNamespace(pump=lambda: None, drop=lambda hop, at: None)
+    lanes = SimpleNamespace(pump=lambda: None, remove_hop=lambda hop, at: None)
     hops = {}
 
     class Taking:
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -152,7 +152,7 @@
         """Another attempt of the same request is given up between the look and the removal."""
 
         def __delitem__(self, key):
-            threads.append(threading.Thread(target=lane.drop, args=(second, clock())))
+            threads.append(threading.Thread(target=lane.remove_hop, args=(second, clock())))
             threads[0].start()
             threads[0].join(0.3)
             super().__delitem__(key)
