--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -124,7 +124,7 @@
                     lock.release()
                 for lane, txn, answer in done:
                     if lane is not None:
-                        lane.pump()
+                        lane.write_queued()
                     else:
                         self.answer_sender.answer(txn, answer)
                         self.answer_sender.undelivered.discard((txn.ident, BY_ROUTER))
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -150,7 +150,7 @@
     def requeue(self, hop: Hop) -> None:
         """A hop that was put by, for its client's reader or for word of the one before, goes on."""
         self.queue.append(hop)
-        self.pump()
+        self.write_queued()
 
     def remove_hop(self, hop: Hop, now: int) -> None:
         """A hop was given up; a connection on which nothing came since it was written is not used again."""
@@ -180,7 +180,7 @@
                 continue  # a writer has it, and looks by itself
             self.pool.refuse(hop, refusal)
 
-    def pump(self) -> None:
+    def write_queued(self) -> None:
         """Write what waits here. Whoever finds another at it leaves: that one looks again before it goes."""
         while self.connected and not self.unwritten and (self.cancels or self.queue and not self.draining):
             if not self.write_lock.acquire(False):
@@ -333,7 +333,7 @@
                     keep_little(self.sock)
                     self.told()  # before others may say something
                     self.unwritten, self.partial_hop = [], None
-                    self.pump()  # words that came meanwhile
+                    self.write_queued()  # words that came meanwhile
                 if not self.room():
                     raise OSError("ended")
                 with self.write_lock:
@@ -348,7 +348,7 @@
         except Exception:
             contained_errors.record("write", server=self.server)
             self.broken_off()
-        self.pump()  # what came between the look and the end of `draining`
+        self.write_queued()  # what came between the look and the end of `draining`
 
     def broken_off(self) -> None:
         """What was cut off in its middle is not whole at the server: it never ran."""
@@ -396,7 +396,7 @@
             return self.end("unreachable" if speaks_against_server(wrong.errno) else "unsent", end_of(wrong), wrong.strerror or "timed out")
         self.last_received_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         self.connected = True
-        self.pump()
+        self.write_queued()
         self.read()
 
     def dial(self) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -100,7 +100,7 @@
     send = sender(cache.address, open_txns=OpenTxns())
     hop = taken(send, ClientWriter(here, encode, send.answer_sender))
     send.open_txns.withdraw(5)
-    send.enqueue(hop).pump()
+    send.enqueue(hop).write_queued()
     assert [about[:2] for about in until(lambda: send.host.posted)] == [(hop, "unsent")] and not hop.written_at and not cache.wants
     here.close(), there.close()
 
@@ -120,7 +120,7 @@
     poll.register(here, select.POLLIN)
     assert poll.poll(2000)
     lane = send.enqueue(hop)
-    lane.pump()
+    lane.write_queued()
     until(lambda: any(about[:2] == (hop, "unsent") for about in send.host.posted))
     assert not hop.written_at and not cache.wants and 5 not in send.open_txns.by_id
     here.close(), there.close()
@@ -135,7 +135,7 @@
     there.sendall(b"\0\0\0\5C\0\0\0\1")
     lane = send.enqueue(hop)
     until(lambda: lane.connected)
-    lane.pump()
+    lane.write_queued()
     assert not hop.written_at and not send.host.posted and lane.open_hops
     client_writer.release_waiting()
     assert client_writer.waiting_hops == [hop]  # its reader has worked off something, but not read on
@@ -156,7 +156,7 @@
     lane = send.enqueue(hop)
     until(lambda: lane.connected)
     assert send.enqueue(other) is lane
-    lane.pump()
+    lane.write_queued()
     until(lambda: cache.wants)
     assert other.written_at and not hop.written_at
     there.sendall(b"and on")
@@ -469,7 +469,7 @@
     monkeypatch.setattr(client_writer, "check_client", lambda hop: (send.open_txns.withdraw(5, client_left=True), CLIENT_LEFT)[1])
     lane = send.enqueue(hop)
     until(lambda: lane.connected)
-    lane.pump()
+    lane.write_queued()
     assert [about[:2] for about in send.host.posted] == [(hop, "unsent")] and not hop.written_at and not cache.wants
 
 
@@ -637,7 +637,7 @@
     cache = Cache()
     send = sender(cache.address, open_txns=OpenTxns())
     hop = keyed(send, clock() + (20_000 if in_time else 30) * MS)
-    send.enqueue(hop).pump()
+    send.enqueue(hop).write_queued()
     while not in_time and clock() <= hop.go_by:
         time.sleep(0.005)
     dial.set()
@@ -650,13 +650,13 @@
     cache = Stalled()
     send = sender(cache.address, open_txns=OpenTxns())
     lane = send.enqueue(keyed(send, clock() + 20_000 * MS))
-    lane.pump()
+    lane.write_queued()
     until(lambda: send.host.posted)
     cache.go_on.clear()
     lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     hop = keyed(send, clock() + 300 * MS, 6, b"w" * 1_000_000)
     assert send.enqueue(hop) is lane
-    lane.pump()
+    lane.write_queued()
     until(lambda: lane.draining)
     until(lambda: len(send.host.posted) == 2, limit=5)
     assert send.host.posted[1][:2] == (hop, "unsent") and clock() >= hop.go_by - 2 * MS  # whole ms are waited
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -91,13 +91,13 @@
     monkeypatch.setattr(socket.socket, "connect", lambda sock, where: (time.sleep(0.4), connect(sock, where)))
     cache = Cache(lambda want: None)
     send = sender(cache.address)
-    send.enqueue(taken_with_limit(send, 3000)).pump()  # its connection comes up late
+    send.enqueue(taken_with_limit(send, 3000)).write_queued()  # its connection comes up late
     until(lambda: cache.wants)
     other = taken_with_limit(send, 3000, ident=6, before_ms=50)
     client_writer = send.open_txns.by_id[6].client_writer
     client_writer.there.sendall(b"half a frame")
     until(lambda: receive_poll(client_writer.sock).poll(0))
-    send.enqueue(other).pump()  # it waits for its client's reader
+    send.enqueue(other).write_queued()  # it waits for its client's reader
     time.sleep(0.4)
     assert client_writer.waiting_hops == [other]
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
@@ -157,7 +157,7 @@
     client_writer.there.sendall(b"request")
     until(lambda: receive_poll(client_writer.sock).poll(0))
     lane = send.enqueue(attempt)
-    lane.pump()
+    lane.write_queued()
     until(lambda: client_writer.waiting_hops == [attempt])
     time.sleep(0.15)  # its reader works for others meanwhile
     client_writer.there.sendall(b"cancel")
@@ -182,7 +182,7 @@
                 patched.setattr(socket.socket, "connect", failing(socket.socket.connect, numbers))
             else:
                 patched.setattr(lane_module, "socket", SimpleNamespace(**vars(socket) | {"socket": failing(socket.socket, numbers)}))
-            send.enqueue(attempt).pump()
+            send.enqueue(attempt).write_queued()
             until(lambda: cache.wants, limit=3)
         assert not numbers and not send.host.posted
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -128,7 +128,7 @@
     free = next(one for one in hops if not one.written_at)  # never went out: nobody need be told
     for one in (cut, free):
         assert send.give_up(one, clock())
-    lane.pump()
+    lane.write_queued()
     for one in (free, cut):
         go(send, next_of(one))
     until(lambda: other.wants)
@@ -153,7 +153,7 @@
     cache.reset()
     until(lambda: any(event & select.POLLHUP for _, event in receive_poll(lane.sock).poll(0)))
     assert send.give_up(one, clock())
-    lane.pump()
+    lane.write_queued()
     go(send, next_of(one))
     held.set()
     until(lambda: other.wants, limit=5)
@@ -176,7 +176,7 @@
     last = [one for one in hops if one.written_at][-1]
     assert lane.draining and not lane.unwritten
     assert send.give_up(last, clock())
-    lane.pump()
+    lane.write_queued()
     assert not lane.cancels and not send.undelivered_cancels and lane.draining
     go(send, next_of(last))
     until(lambda: other.wants)
@@ -214,7 +214,7 @@
     until(lambda: len(cache.wants) >= 1 + len(begun))
     until(lambda: lane.closed or not lane.draining and not lane.queue)
     if late.connection is not None:
-        late.connection.pump()
+        late.connection.write_queued()
     time.sleep(0.05)
     assert [w["id"] for w in cache.wants] == ["%016x" % 1] + [one.name for one in begun]
     assert not late.written_at and (late, "unsent") in [about[:2] for about in send.host.posted]
@@ -349,7 +349,7 @@
             route.list_told(ListChange(False, (row(cache, "draining"),)))
         else:
             route.purge_told(Purge(None, 7, time.time_ns()))
-        lane.pump()
+        lane.write_queued()
         assert not waiting.written_at and waiting.ended
         order = [getattr(event[0], "__name__", "") for event in route.queue]
         assert order[-2:] == ["list_changed" if what == "list" else "purged", "hop_ended"]  # it decides anew after it
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -61,7 +61,7 @@
     send.lock = LetsIn(send.lock, removed)
     lane = send.enqueue(attempt)
     if lane is not None:
-        lane.pump()
+        lane.write_queued()
     assert [about[:2] for about in until(lambda: send.host.posted)] == [(attempt, "unsent")]
     removal.join()
     assert not attempt.written_at and not cache.wants
@@ -140,11 +140,11 @@
     """A server that is listed at another address: its old connection leads to a process that was removed, or to another server's."""
     old, new = Cache(lambda want: None), Cache(lambda want: None)
     send = sender(old.address)
-    send.enqueue(taken(send, stays(send), ident=5)).pump()
+    send.enqueue(taken(send, stays(send), ident=5)).write_queued()
     until(lambda: old.wants)
     host, port = new.address.split(":")
     send.update_endpoint("c0", (host, int(port)), "up")
-    send.enqueue(taken(send, stays(send), ident=6)).pump()
+    send.enqueue(taken(send, stays(send), ident=6)).write_queued()
     until(lambda: new.wants)
     assert len(old.wants) == len(new.wants) == 1
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -153,7 +153,7 @@
 
 def go(send, hop):
     lane = send.enqueue(hop)
-    lane.pump()
+    lane.write_queued()
     return lane
 
 
@@ -211,7 +211,7 @@
     other = Hop(2, 0, "b" * 16, "c0", None, want("b" * 16), clock())
     assert send.enqueue(other) is lane
     send.update_endpoint("c0", ("", 0), "gone")
-    lane.pump()
+    lane.write_queued()
     assert [about[:2] for about in send.host.posted] == [(other, "unsent")] and "b" * 16 not in lane.open_hops
 
 
@@ -337,7 +337,7 @@
     send = ConnectionPool(site, open_txns, answer_sender, 4)
     route = RouterHost(site, 1, open_txns, answer_sender, send)
     answered = {}
-    lanes = SimpleNamespace(pump=lambda: None, remove_hop=lambda hop, at: None)
+    lanes = SimpleNamespace(write_queued=lambda: None, remove_hop=lambda hop, at: None)
     hops = {}
 
     class Taking:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -520,7 +520,7 @@
 def go(send, hop):
     lane = send.enqueue(hop)
     if lane is not None:
-        lane.pump()
+        lane.write_queued()
     return hop
 
 
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -43,7 +43,7 @@
     lane.queue = Emptied(lane.queue)
     dialled.set()
     until(lambda: lane.connected and lane.queue.emptied)
-    send.enqueue(taken(send, stays(send), ident=6)).pump()
+    send.enqueue(taken(send, stays(send), ident=6)).write_queued()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
     assert not failed and contained_errors.log_fields().get("contained_write") == before  # contained is not mended
 
@@ -54,7 +54,7 @@
     send = sender(cache.address)
     probe = Hop(0, 1, "busy-1", "c0", None, None, clock())
     lane = send.enqueue(probe)
-    lane.pump()  # as who hands over an attempt does: the connection may have come up before that waited in it
+    lane.write_queued()  # as who hands over an attempt does: the connection may have come up before that waited in it
     until(lambda: lane.connected)
     until(lambda: not lane.queue)
     failed = []
@@ -144,7 +144,7 @@
     first = taken(send, stays(send))
     second = replace(first, number=1)
     lane = send.enqueue(second)
-    lane.pump()
+    lane.write_queued()
     until(lambda: second.written_at)
     threads = []
 
