--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -192,7 +192,7 @@
                 if self.cancels:
                     full = self.say()
                 elif not self.draining:
-                    self.unwritten, self.partial_hop, full = self.write()
+                    self.unwritten, self.partial_hop, full = self.write_batch()
                 if full and not self.draining:
                     self.draining = True
                     threading.Thread(target=self.drain, name="lane-rest", daemon=True).start()
@@ -229,7 +229,7 @@
         for hop in hops:
             self.pool.cancel_delivered(hop)
 
-    def write(self) -> tuple[list, Hop | None, bool]:
+    def write_batch(self) -> tuple[list, Hop | None, bool]:
         """One write of what waits: what is left of a message that was cut, its hop, and whether the socket is full.
         Messages of which no byte went out wait here again, and are looked at again before they go."""
         if self.past:  # else the system would add small ones to the last of its pieces
@@ -342,7 +342,7 @@
                     if not self.queue or self.closed:
                         self.draining = False
                         break
-                    self.unwritten, self.partial_hop, _ = self.write()
+                    self.unwritten, self.partial_hop, _ = self.write_batch()
         except (OSError, ValueError):
             self.broken_off()
         except Exception:
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -265,7 +265,7 @@
     lane.draining = True  # nobody else pumps
     for one in hops:
         send.enqueue(one)
-    left, cut, full = lane.write()
+    left, cut, full = lane.write_batch()
     whole = sum(sum(sizes[: n + 1]) <= taken for n in range(3))
     begun = sum(sum(sizes[:n]) < taken for n in range(3))
     assert full and [bool(one.written_at) for one in hops] == [n < begun for n in range(3)]
