--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -195,7 +195,7 @@
                     self.unwritten, self.partial_hop, full = self.write_batch()
                 if full and not self.draining:
                     self.draining = True
-                    threading.Thread(target=self.drain, name="lane-rest", daemon=True).start()
+                    threading.Thread(target=self.write_rest, name="lane-rest", daemon=True).start()
             except (OSError, RuntimeError, ValueError):  # broken, closed, or the system gives no further thread
                 self.shut()
                 return
@@ -321,7 +321,7 @@
                 return False
         return not self.closed
 
-    def drain(self) -> None:
+    def write_rest(self) -> None:
         """Guards against a server that reads slowly: this thread waits for it, and nobody else does."""
         try:
             while True:
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -58,7 +58,7 @@
     until(lambda: lane.connected)
     until(lambda: not lane.queue)
     failed = []
-    finished = threading.Thread(target=lambda: failed.extend(raised_by(lane.drain)))
+    finished = threading.Thread(target=lambda: failed.extend(raised_by(lane.write_rest)))
     with lane.write_lock:
         lane.unwritten, lane.partial_hop, lane.draining = [b"*1\r\n$4\r\nrest\r\n"], probe, True
         keep_little(lane.sock)
