--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -138,7 +138,7 @@
         now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         if hop.ended:
             return False
-        if now - hop.connection.last_received_at > LOOK_IDLE and hop.connection.over():
+        if now - hop.connection.last_received_at > LOOK_IDLE and hop.connection.peer_closed():
             self.refuse(hop, Refusal.CONNECTION_ENDED)
             return False
         if hop.want is not None:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -368,7 +368,7 @@
                 raise OSError("not out in time")
             left = write_nonblocking(self.sock, left)
 
-    def over(self) -> bool:
+    def peer_closed(self) -> bool:
         """Guards against a hop written to a server that has closed or reset this connection, idle or not, before its reader has had
         a turn: of such a hop nobody could tell that it never ran."""
         found = receive_poll(self.sock).poll(0)
