--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -54,7 +54,7 @@
         if before is None or before.state != state:
             log.info("endpoint", extra={"kv": {"server": name, "state": state, "was": before.state if before else "-"}})
         for lane in lanes:
-            lane.look()
+            lane.close_if_unused()
 
     def enqueue(self, hop: Hop) -> ServerConnection | None:
         """The hop waits in the lane given back, to be pumped; its end is reported later, whatever happens."""
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -414,7 +414,7 @@
                     raise
             time.sleep(DIAL_PAUSE)
 
-    def look(self) -> None:
+    def close_if_unused(self) -> None:
         """Ends the connection where nothing is open and it is idle, retired or to a server that is gone."""
         with self.lock:
             self.closed |= (
@@ -437,7 +437,7 @@
             except BlockingIOError:
                 if decoder.within():
                     raise resp.BadReply("an answer that stops short") from None
-                self.look()
+                self.close_if_unused()
 
     def read(self) -> None:
         decoder, how, why = resp.Decoder(), ConnectionEnd.CLOSED_BY_SERVER, "closed by the server"
@@ -445,7 +445,7 @@
             while size := self.receive(decoder):
                 self.replies(decoder, size)
                 if self.retired or self.server not in self.pool.endpoints:
-                    self.look()
+                    self.close_if_unused()
         except OSError as wrong:
             how, why = end_of(wrong), wrong.strerror or type(wrong).__name__
         except resp.BadReply as bad:
