--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -397,7 +397,7 @@
         self.last_received_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         self.connected = True
         self.write_queued()
-        self.read()
+        self.read_replies()
 
     def dial(self) -> None:
         """Connects, within the time that a dial may take. What fails on this machine is tried again meanwhile: it says nothing of the
@@ -439,11 +439,11 @@
                     raise resp.BadReply("an answer that stops short") from None
                 self.close_if_unused()
 
-    def read(self) -> None:
+    def read_replies(self) -> None:
         decoder, how, why = resp.Decoder(), ConnectionEnd.CLOSED_BY_SERVER, "closed by the server"
         try:
             while size := self.receive(decoder):
-                self.replies(decoder, size)
+                self.handle_replies(decoder, size)
                 if self.retired or self.server not in self.pool.endpoints:
                     self.close_if_unused()
         except OSError as wrong:
@@ -455,7 +455,7 @@
             how, why = ConnectionEnd.CLOSED_HERE, "closed here"
         self.end("unsent", how, why)
 
-    def replies(self, decoder: resp.Decoder, size: int) -> None:
+    def handle_replies(self, decoder: resp.Decoder, size: int) -> None:
         """All that one read brought. Answers to one client go out in one write, and the Router hears of them together."""
         pool, window, cork = self.pool, decoder.window, []
         self.last_received_at = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -636,8 +636,8 @@
 
 def readers_held(monkeypatch):
     """From now on, connections to servers are read only once the event given back is set: their threads have not had the core."""
-    reading, held = ServerConnection.read, threading.Event()
-    monkeypatch.setattr(ServerConnection, "read", lambda lane: (held.wait(10), reading(lane)))
+    reading, held = ServerConnection.read_replies, threading.Event()
+    monkeypatch.setattr(ServerConnection, "read_replies", lambda lane: (held.wait(10), reading(lane)))
     return held
 
 
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -27,7 +27,7 @@
     "a request is decided on": (("router_host", "RouterHost", "arrived", "self, txn", 3), "event"),
     "an attempt is handed over": (("router_host", "RouterHost", "go", "self, hop", 3), "event"),
     "a request is read": (("admission", "Admission", "handle_request", "self, *about", 5), "client"),
-    "answers of a server are read": (("server_connection", "ServerConnection", "replies", "self, *about", 5), "connection"),
+    "answers of a server are read": (("server_connection", "ServerConnection", "handle_replies", "self, *about", 5), "connection"),
     "an attempt is looked at before its write": (("connection_pool", "ConnectionPool", "start_attempt", "self, hop", 5), "write"),
     "the clients' list is looked through": (("client_listener", "ClientListener", "sweep", "self, now", 2), "watch"),
 }
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -261,7 +261,7 @@
     try:
         room = decoder.window.free_space()
         room[: len(data)] = data
-        lane.replies(decoder, len(data))
+        lane.handle_replies(decoder, len(data))
     finally:
         ClientWriter.uncork = put
     assert seen == [(3, False, False)] * 2 and send.answer_sender.all_delivered() and len(send.host.posted) == 6
