--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -166,7 +166,7 @@
                     self.pool.undelivered_cancels[hop.ident] = hop
                 self.cancels.append(hop)
             if self.retired and not self.open_hops:
-                self.shut()  # its thread may wait for ever, a writer be held up
+                self.shut_down()  # its thread may wait for ever, a writer be held up
 
     def refuse_stale_hops(self) -> None:
         """Hops that wait here and may not go out any more are taken back at once: they never ran."""
@@ -197,11 +197,11 @@
                     self.draining = True
                     threading.Thread(target=self.write_rest, name="lane-rest", daemon=True).start()
             except (OSError, RuntimeError, ValueError):  # broken, closed, or the system gives no further thread
-                self.shut()
+                self.shut_down()
                 return
             except Exception:  # it costs this connection, whose own thread ends what is open on it
                 contained_errors.record("write", server=self.server)
-                self.shut()
+                self.shut_down()
                 return
             finally:
                 self.write_lock.release()
@@ -354,7 +354,7 @@
         """What was cut off in its middle is not whole at the server: it never ran."""
         if self.partial_hop is not None:
             self.partial_hop.written_at = 0
-        self.shut()
+        self.shut_down()
 
     def finish(self, left: list, go_by: int) -> None:
         """The rest of what has begun. Guards against a repeat of which a server takes the end only once it may have forgotten the
@@ -427,7 +427,7 @@
                 )
             )
             if self.closed:
-                self.shut()
+                self.shut_down()
 
     def receive(self, decoder: resp.Decoder) -> int:
         """Waits for ever between answers; within one no longer than a connection may take to come up."""
@@ -479,7 +479,7 @@
             pool.answer_sender.undelivered.discard((0, id(self)))
             pool.host.handle()
 
-    def shut(self) -> None:
+    def shut_down(self) -> None:
         if self.sock is None:
             return
         try:
@@ -494,7 +494,7 @@
             self.closed = True
             hops = list(self.open_hops.values())
             self.open_hops.clear()
-        self.shut()
+        self.shut_down()
         self.pool.remove_connection(self)
         with self.write_lock:  # a write under way uses the descriptor; none waits in there
             if self.sock is not None:
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -134,7 +134,7 @@
     until(lambda: other.wants)
     assert [want["id"] for want in other.wants] == [free.name] and not send.waiting_for_cancel[cut.ident].written_at
     if then == "ends":
-        lane.shut()
+        lane.shut_down()
     cache.go_on.set()
     until(lambda: len(other.wants) == 2)
     assert other.wants[1]["id"] == cut.name and not send.undelivered_cancels and not send.waiting_for_cancel
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -552,14 +552,14 @@
     calm = [probe(send, f"calm-{n}") for n in range(40)]
     until(lambda: all(hop.written_at for hop in calm))
     assert len({hop.connection for hop in calm}) == 1
-    calm[0].connection.shut()
+    calm[0].connection.shut_down()
     until(lambda: len(send.host.posted) == 40)
     send.host.posted.clear()
     hops = [probe(send, f"busy-{n}") for n in range(40)]
     until(lambda: all(hop.written_at for hop in hops))
     lanes = {hop.connection for hop in hops}
     assert max(len(lane.open_hops) for lane in lanes) == 10 and len(lanes) == 4  # the other half is for other servers
-    hops[0].connection.shut()
+    hops[0].connection.shut_down()
     until(lambda: len(send.host.posted) == 10)
     assert {about[1] for about in send.host.posted} == {"broken"}
 
