--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -80,7 +80,7 @@
     reader_wait_bytes: int = 0  # ... until that has worked off so many bytes of all that the client sent
 
 
-def keep_little(sock: socket.socket, unsent: int = UNSENT) -> None:
+def limit_unsent(sock: socket.socket, unsent: int = UNSENT) -> None:
     """What the other side has no room for waits in the router, where it can still be taken back, not in the system."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, unsent)
@@ -216,9 +216,9 @@
         left = write_nonblocking(self.sock, (data,)) if data else ()
         if left:
             self.past = True
-            keep_little(self.sock, ANY)
+            limit_unsent(self.sock, ANY)
             left = write_nonblocking(self.sock, left)
-            keep_little(self.sock)
+            limit_unsent(self.sock)
         self.unwritten = left
         if not left:
             self.told()
@@ -297,9 +297,9 @@
         if left:
             self.past = True
             try:
-                keep_little(self.sock, ANY)
+                limit_unsent(self.sock, ANY)
                 left = write_nonblocking(self.sock, left)
-                keep_little(self.sock)
+                limit_unsent(self.sock)
             except OSError:
                 if cut is not None:
                     cut.written_at = 0  # not whole: it never ran
@@ -327,10 +327,10 @@
             while True:
                 if self.unwritten:
                     cut = self.partial_hop
-                    keep_little(self.sock, ANY)
+                    limit_unsent(self.sock, ANY)
                     keyed = cut is not None and cut.number and cut.want is not None and cut.want.key
                     self.finish(list(self.unwritten), cut.go_by if keyed else NEVER)
-                    keep_little(self.sock)
+                    limit_unsent(self.sock)
                     self.told()  # before others may say something
                     self.unwritten, self.partial_hop = [], None
                     self.write_queued()  # words that came meanwhile
@@ -391,7 +391,7 @@
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, site.idle_close // MS)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, STRUCT_TIME.pack(*divmod(site.connect_timeout // US, 1_000_000)))
-            keep_little(self.sock)
+            limit_unsent(self.sock)
         except OSError as wrong:  # not established
             return self.end("unreachable" if speaks_against_server(wrong.errno) else "unsent", end_of(wrong), wrong.strerror or "timed out")
         self.last_received_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -15,7 +15,7 @@
 from fieldspur.lab.soak import shim
 from fieldspur.net.discovery import SILENCE, WAIT_HEARD
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.server_connection import LOOK_BOARD, Hop, keep_little
+from fieldspur.net.server_connection import LOOK_BOARD, Hop, limit_unsent
 from fieldspur.record import replace
 
 
@@ -61,7 +61,7 @@
     finished = threading.Thread(target=lambda: failed.extend(raised_by(lane.write_rest)))
     with lane.write_lock:
         lane.unwritten, lane.partial_hop, lane.draining = [b"*1\r\n$4\r\nrest\r\n"], probe, True
-        keep_little(lane.sock)
+        limit_unsent(lane.sock)
     finished.start()
     finished.join(5)
     assert not failed and not lane.draining and not lane.unwritten
