--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -18,7 +18,7 @@
 from fieldspur.site import MS, Deployment
 
 log = logging.getLogger("fieldspur.send")
-LOOK_CLIENT = 20 * MS  # a txn taken that long ago has waited for something: its client may have left meanwhile
+CLIENT_CHECK_AFTER = 20 * MS  # a txn taken that long ago has waited for something: its client may have left meanwhile
 LOOK_IDLE = 20 * MS  # a connection on which nothing came for that long may have been closed meanwhile
 
 
@@ -143,7 +143,7 @@
             return False
         if hop.want is not None:
             txn = self.open_txns.by_id.get(hop.ident)  # gone: withdrawn by its reader, and the Router has not heard of it yet
-            if txn is not None and now - txn.taken_at > LOOK_CLIENT:
+            if txn is not None and now - txn.taken_at > CLIENT_CHECK_AFTER:
                 if (found := txn.client_writer.check_client(hop)) is UNREAD_BYTES:
                     return False
                 if found is CLIENT_LEFT:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -30,7 +30,7 @@
 DIAL_PAUSE = 0.02  # seconds between two tries of a dial that fails on this machine
 LOOK_ROOM = 200  # ms after which a wait for room in a socket looks whether the connection has ended
 UNSENT = 16_384  # bytes that the system may hold and not yet have sent when it takes more: what waits can be taken back
-LOOK_BOARD = 50 * MS  # so old may the last look be at whether discovery's word lies unread, when attempts are written
+DISCOVERY_CHECK_INTERVAL = 50 * MS  # so old may the last look be at whether discovery's word lies unread, when attempts are written
 ANY = 1 << 30  # the same for what has begun
 
 
@@ -236,7 +236,7 @@
             if not self.poll().poll(0):
                 return [], None, True
             self.past = False
-        if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.pool.discovery_checked_at > LOOK_BOARD:
+        if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.pool.discovery_checked_at > DISCOVERY_CHECK_INTERVAL:
             self.pool.wait_for_discovery()  # before any is looked at: nothing may wait between the look at one and its write
         try:  # as `next_attempt`, without a call in the ordinary case
             hop = self.queue.popleft()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,7 +31,7 @@
 from fieldspur.net import resp
 from fieldspur.net.client_listener import ClientListener, encode
 from fieldspur.net.client_writer import CLIENT_LEFT, UNREAD_BYTES, AnswerSender, ClientWriter
-from fieldspur.net.connection_pool import LOOK_CLIENT
+from fieldspur.net.connection_pool import CLIENT_CHECK_AFTER
 from fieldspur.net.nonblocking import receive_poll
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.server_connection import Hop, ServerConnection
@@ -346,7 +346,7 @@
     client.sock.shutdown(socket.SHUT_WR)
     at_its_peer(client.sock, 8)
     first.answer("%016x" % 1, "EIO")
-    time.sleep(2 * LOOK_CLIENT / SECOND)  # of a txn taken a moment ago nobody looks whether its client has left
+    time.sleep(2 * CLIENT_CHECK_AFTER / SECOND)  # of a txn taken a moment ago nobody looks whether its client has left
     os.kill(service.process.pid, signal.SIGCONT)
     probe = service.client()
     probe.ask(7)
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -15,7 +15,7 @@
 from fieldspur.lab.soak import shim
 from fieldspur.net.discovery import SILENCE, WAIT_HEARD
 from fieldspur.net.invariants import contained_errors
-from fieldspur.net.server_connection import LOOK_BOARD, Hop, limit_unsent
+from fieldspur.net.server_connection import DISCOVERY_CHECK_INTERVAL, Hop, limit_unsent
 from fieldspur.record import replace
 
 
@@ -80,7 +80,7 @@
 
     def looks(hop):
         order.append(hop.ident)
-        time.sleep(2 * LOOK_BOARD / 1e9)
+        time.sleep(2 * DISCOVERY_CHECK_INTERVAL / 1e9)
         return look(hop)
 
     return looks
