--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -49,11 +49,11 @@
 
     # Methods that the discovery client calls.
 
-    def gather(self) -> None:
-        self.route.gather()
+    def start_batch(self) -> None:
+        self.route.start_batch()
 
-    def handle(self) -> None:
-        self.route.handle()
+    def finish_batch(self) -> None:
+        self.route.finish_batch()
 
     def purge_told(self, purge, now: bool = False) -> None:
         self.route.purge_told(purge, now)
@@ -106,10 +106,10 @@
             self.withdrawn, self.returns = withdrawn, returns
             self.returned_at |= dict.fromkeys(new_returns, time.time_ns() // MS * MS)
             rows = tuple(self.row_for_router(self.servers[name]) for name in sorted(changed) if name in self.servers)
-            self.route.gather()
+            self.route.start_batch()
             if rows:
                 self.route.list_told(ListChange(False, rows))
-        self.route.handle()
+        self.route.finish_batch()
 
     def set_usage_check(self, is_uncertain: Callable[[str], bool] | None) -> None:
         """Sets the function that is called just before each write, and returns True if the server must not be used at this moment."""
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -51,10 +51,10 @@
         self.enabled = threading.Event()  # set while the lines of this member are to be read
         self.removed = False
 
-    def gather(self) -> None:
+    def start_batch(self) -> None:
         """Does nothing: each line is handled as soon as it arrives."""
 
-    def handle(self) -> None:
+    def finish_batch(self) -> None:
         pass
 
     def lost(self, reason: str) -> None:
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -110,10 +110,10 @@
                 else:  # does the same as `arrivals.read` in the usual case, without a call
                     arrivals.read_at = arrivals.latest = now
                     arrivals.reads += 1
-                self.client_listener.route.gather()
+                self.client_listener.route.start_batch()
                 try:
                     for value in decoder.decode_received(size):
-                        self.handle(
+                        self.finish_batch(
                             value,
                             arrivals.latest
                             if arrivals.late_since == NEVER
@@ -138,7 +138,7 @@
                     )
                     if not further_reads:
                         handled_any = False
-                        self.client_listener.route.handle()
+                        self.client_listener.route.finish_batch()
                         if self.client_writer.release_needed:
                             self.client_writer.release_waiting()
         except OSError:
@@ -147,7 +147,7 @@
             contained_errors.record("client")
         self.set_unfinished(0)
         self.client_listener.connection_ended(self)
-        self.client_listener.route.handle()
+        self.client_listener.route.finish_batch()
         self.client_writer.release_waiting()
 
     def descriptor_freed(self) -> None:
@@ -169,7 +169,7 @@
         self.client_writer.write(frames.encode_unreadable())
         self.client_writer.close_when_done()
 
-    def handle(self, value, received_at: int) -> None:
+    def finish_batch(self, value, received_at: int) -> None:
         """Handles one decoded frame. An unexpected error costs this connection: the request at hand is answered, nothing further is
         read, and the other owed answers are still sent."""
         try:
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -209,7 +209,7 @@
         try:
             self.listen()
         finally:
-            self.route.handle()  # what was told and is not yet handled
+            self.route.finish_batch()  # what was told and is not yet handled
 
     def listen(self) -> None:
         sock = socket.socket()
@@ -234,7 +234,7 @@
             settles = self.heard == heard and not held and not self.current.is_set()
             if poll.poll((min(left, SETTLE) if settles else left) * 1000):
                 # All that lies there is told before this thread takes a turn in the Router and writes by half of it.
-                self.route.gather()
+                self.route.start_batch()
                 with self.reading:
                     data = sock.recv(65_536)
                     if not data:
@@ -247,7 +247,7 @@
                             self.line(line)
                             self.heard = heard = time.monotonic()
                 if not poll.poll(0):
-                    self.route.handle()
+                    self.route.finish_batch()
             elif settles:
                 self.current.set()
             if time.monotonic() - heard >= SILENCE:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -75,11 +75,11 @@
         if not self.mine.busy:
             self.work()
 
-    def gather(self) -> None:
+    def start_batch(self) -> None:
         """What this thread posts from here on waits for `handle`, so that what it leads to goes out together."""
         self.mine.busy = True
 
-    def handle(self) -> None:
+    def finish_batch(self) -> None:
         self.mine.busy = False
         if self.queue:
             self.work()
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -459,7 +459,7 @@
         """All that one read brought. Answers to one client go out in one write, and the Router hears of them together."""
         pool, window, cork = self.pool, decoder.window, []
         self.last_received_at = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-        pool.host.gather()
+        pool.host.start_batch()
         try:
             for reply in decoder.filled(size):
                 with self.lock:
@@ -477,7 +477,7 @@
             for client_writer in cork:
                 client_writer.uncork()
             pool.answer_sender.undelivered.discard((0, id(self)))
-            pool.host.handle()
+            pool.host.finish_batch()
 
     def shut_down(self) -> None:
         if self.sock is None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -621,10 +621,10 @@
     def post(self, what, *about):
         self.posted.append(about)
 
-    def gather(self):
+    def start_batch(self):
         pass
 
-    handle = gather
+    finish_batch = start_batch
 
 
 class Standing(dict):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -112,7 +112,7 @@
     client_listener.admission.handle_request = lambda request, client_writer, now: (
         client_writer.open_stream(request.stream, 7) and not times.update({request.stream: now})
     )
-    client_listener.route.handle = lambda: time.sleep(0.3) if len(times) == 1 else None
+    client_listener.route.finish_batch = lambda: time.sleep(0.3) if len(times) == 1 else None
     there = joins(client_listener)
     there.ask(1)
     until(lambda: times)
@@ -247,7 +247,7 @@
     connection that was to be written to."""
     monkeypatch.setattr(board_module, "SILENCE", 0.3)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        board = DiscoveryClient(listener.getsockname(), SimpleNamespace(gather=lambda: None, handle=lambda: None), 1)
+        board = DiscoveryClient(listener.getsockname(), SimpleNamespace(start_batch=lambda: None, finish_batch=lambda: None), 1)
         threading.Thread(target=lambda: pytest.raises(TimeoutError, board.watch), daemon=True).start()
         there, real = listener.accept()[0], until(lambda: board.sock)
         assert there.recv(100) == b"watch 0\n"
--- a/tests/test_names_that_never_come_again.py
+++ b/tests/test_names_that_never_come_again.py
@@ -15,7 +15,7 @@
 def overlay():
     route = SimpleNamespace(site=deployment(settings()), told=[])
     route.list_told = lambda change, now=False: route.told.append(change)
-    route.gather = route.handle = lambda: None
+    route.start_batch = route.finish_batch = lambda: None
     return ServerListOverlay(route)
 
 
