--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -55,10 +55,10 @@
     def finish_batch(self) -> None:
         self.route.finish_batch()
 
-    def purge_told(self, purge, now: bool = False) -> None:
-        self.route.purge_told(purge, now)
+    def purge_received(self, purge, now: bool = False) -> None:
+        self.route.purge_received(purge, now)
 
-    def list_told(self, change: ListChange, now: bool = False) -> None:
+    def list_received(self, change: ListChange, now: bool = False) -> None:
         with self.lock:  # one list change at a time; the discovery thread collects events meanwhile and waits for nothing
             if change.complete:
                 self.servers, self.gone_names, self.listings = {}, {}, {}
@@ -70,7 +70,7 @@
                 if row.state == "gone":
                     self.gone_names[row.name] = None
             self.forget_gone()
-            self.route.list_told(ListChange(change.complete, tuple(map(self.row_for_router, change.servers))), now)
+            self.route.list_received(ListChange(change.complete, tuple(map(self.row_for_router, change.servers))), now)
 
     def listing(self, row: ListedServer) -> Listing:
         """The listed server as the coordinator sees it; `kind` is empty for servers that work orders do not cover."""
@@ -108,7 +108,7 @@
             rows = tuple(self.row_for_router(self.servers[name]) for name in sorted(changed) if name in self.servers)
             self.route.start_batch()
             if rows:
-                self.route.list_told(ListChange(False, rows))
+                self.route.list_received(ListChange(False, rows))
         self.route.finish_batch()
 
     def set_usage_check(self, is_uncertain: Callable[[str], bool] | None) -> None:
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -115,10 +115,10 @@
                     "kv": {"rev": self.last, "complete": int(told.complete), **{state: states.count(state) for state in STATES.values()}}
                 },
             )
-            self.route.list_told(told, now)
+            self.route.list_received(told, now)
         elif told is not None:
             self.purges += 1
-            self.route.purge_told(told, now)
+            self.route.purge_received(told, now)
 
     def behind(self) -> bool:
         """The board's word lies unread, or none came for so long that events may have passed this router by."""
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -334,7 +334,7 @@
     # The board's word goes to Send at once, by the thread that read it, for no hop may be written on older word. The
     # Router hears of it in its turn: before any hop that Send turns away for it, and after Send knows where new servers are.
 
-    def list_told(self, change: ListChange, now: bool = False) -> None:
+    def list_received(self, change: ListChange, now: bool = False) -> None:
         rows, site = [], self.site
         for s in change.servers:
             if s.zone in site.zones and s.kind in site.kinds:
@@ -378,7 +378,7 @@
             self.starts[s.name] = s.started, at
         return at
 
-    def purge_told(self, purge: Purge, now: bool = False) -> None:
+    def purge_received(self, purge: Purge, now: bool = False) -> None:
         if now:
             return self.purged(purge, live=False)
         self.queue.append((self.purged, (purge,), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -323,7 +323,7 @@
 def route_to(cache):
     send = sender(cache.address)
     route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
-    route.list_told(ListChange(True, (row(cache, "up"),)), now=True)
+    route.list_received(ListChange(True, (row(cache, "up"),)), now=True)
     return send, route
 
 
@@ -346,9 +346,9 @@
         waiting = hop(2)
         assert send.enqueue(waiting) is lane
         if what == "list":
-            route.list_told(ListChange(False, (row(cache, "draining"),)))
+            route.list_received(ListChange(False, (row(cache, "draining"),)))
         else:
-            route.purge_told(Purge(None, 7, time.time_ns()))
+            route.purge_received(Purge(None, 7, time.time_ns()))
         lane.write_queued()
         assert not waiting.written_at and waiting.ended
         order = [getattr(event[0], "__name__", "") for event in route.queue]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -47,8 +47,8 @@
     1: "from fieldspur.net.client_writer import ClientWriter\nput = ClientWriter.write_or_queue\n"
     "ClientWriter.write_or_queue = lambda self, data: (put(self, data), data[0][4:5] == b'B' and put(self, data))\n",
     2: "from fieldspur.decide import Router\nRouter.may_send = lambda *about: True\n",
-    3: "from fieldspur.net.router_host import RouterHost\nfrom fieldspur.record import replace\nold = RouterHost.list_told\n"
-    "RouterHost.list_told = lambda self, change, now=False: old(self, replace(change, servers=tuple(\n"
+    3: "from fieldspur.net.router_host import RouterHost\nfrom fieldspur.record import replace\nold = RouterHost.list_received\n"
+    "RouterHost.list_received = lambda self, change, now=False: old(self, replace(change, servers=tuple(\n"
     "    replace(s, state='up') for s in change.servers)), now)\n",
     4: "from fieldspur.decide import Fleet\nFleet.has_room = lambda *about: True\nFleet.is_cold = lambda *about: False\n"
     "Fleet.seen = lambda *about: 0.0\nFleet.all_over = lambda *about: 0.0\n",
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -175,14 +175,14 @@
         cache = Cache(lambda want: None)
         send, route = route_to(cache)
         parent = replace(row(cache, "up"), name="p0", kind="parent")
-        route.list_told(ListChange(False, (parent,)))
+        route.list_received(ListChange(False, (parent,)))
         taken(send, stays(send), ident=5)
         dialled = dials_wait(monkeypatch)
         with route.lock:  # the Router is at something, and has not heard of the start
             route.hop(5, "c0", clock() + 3 * SECOND, "p0", 0, 0, False, False, True, NEVER)
             lane = route.outbox[-1][0]
             before = row(cache, "up") if restarts == "server" else parent
-            route.list_told(ListChange(False, (replace(before, started=clock() // MS * MS),)))
+            route.list_received(ListChange(False, (replace(before, started=clock() // MS * MS),)))
             dialled.set()
             until(lambda: lane.connected)
             time.sleep(0.1)
--- a/tests/test_names_that_never_come_again.py
+++ b/tests/test_names_that_never_come_again.py
@@ -14,7 +14,7 @@
 
 def overlay():
     route = SimpleNamespace(site=deployment(settings()), told=[])
-    route.list_told = lambda change, now=False: route.told.append(change)
+    route.list_received = lambda change, now=False: route.told.append(change)
     route.start_batch = route.finish_batch = lambda: None
     return ServerListOverlay(route)
 
@@ -26,14 +26,14 @@
 def renamed(found, count):
     """A server goes and another comes, so many times."""
     for n in range(count):
-        found.list_told(ListChange(False, (listed(f"fresh-{n}"),)))
-        found.list_told(ListChange(False, (listed(f"fresh-{n}", "gone"),)))
+        found.list_received(ListChange(False, (listed(f"fresh-{n}"),)))
+        found.list_received(ListChange(False, (listed(f"fresh-{n}", "gone"),)))
 
 
 def test_a_fleet_s_view_of_the_list_keeps_what_stands_and_few_of_those_that_are_gone():
     """Each name that was ever listed was kept until the next complete list, and looked through with each change."""
     found = overlay()
-    found.list_told(ListChange(True, tuple(listed(f"c{n}") for n in range(STANDING))))
+    found.list_received(ListChange(True, tuple(listed(f"c{n}") for n in range(STANDING))))
     found.withdraw(frozenset(("c1", "fresh-3")), frozenset())
     renamed(found, 3000)
     assert len(found.servers) <= STANDING + GONE_KEPT + 1 and set(found.listings) == set(found.servers)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -616,7 +616,7 @@
 
 def test_a_change_of_the_list_may_hold_only_what_has_changed():
     told = []
-    board = DiscoveryClient(("127.0.0.1", 1), SimpleNamespace(list_told=lambda change, now: told.append(change)), 1)
+    board = DiscoveryClient(("127.0.0.1", 1), SimpleNamespace(list_received=lambda change, now: told.append(change)), 1)
     whole = endpoint("c0", "127.0.0.1:5")
     board.begin(
         [
@@ -663,7 +663,7 @@
     send = sender(quiet.address)
     route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
     row = ListedServer("c0", send.endpoints["c0"].address, "east", "std", 0, "up", 50.0, 0)
-    route.list_told(ListChange(True, (row,)), now=True)
+    route.list_received(ListChange(True, (row,)), now=True)
     client_writer = ClientWriter(here, encode, route.answer_sender)
     client_writer.streams[1] = 1
     now = clock()
