--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -345,9 +345,9 @@
             if s.state == "up":
                 self.sender.update_endpoint(s.name, s.address, s.state, s.started)
         if now:
-            self.list_changed(change.complete, rows, live=False)
+            self.apply_list(change.complete, rows, live=False)
         else:
-            self.queue.append((self.list_changed, (change.complete, rows), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
+            self.queue.append((self.apply_list, (change.complete, rows), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         for s in rows:
             if s.state != "up":
                 self.sender.update_endpoint(s.name, s.address, s.state, s.started)
@@ -358,7 +358,7 @@
         if not self.mine.busy:
             self.work()
 
-    def list_changed(self, complete: bool, rows: list, live: bool = True) -> None:
+    def apply_list(self, complete: bool, rows: list, live: bool = True) -> None:
         fleet, site = self.router.fleet, self.site
         fleet.list_begins(complete)
         for s in rows:
@@ -380,13 +380,13 @@
 
     def purge_received(self, purge: Purge, now: bool = False) -> None:
         if now:
-            return self.purged(purge, live=False)
-        self.queue.append((self.purged, (purge,), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
+            return self.apply_purge(purge, live=False)
+        self.queue.append((self.apply_purge, (purge,), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         self.sender.purge_received(purge.obj, purge.group)
         if not self.mine.busy:
             self.work()
 
-    def purged(self, purge: Purge, live: bool = True) -> None:
+    def apply_purge(self, purge: Purge, live: bool = True) -> None:
         self.purges += 1
         self.router.purged(purge.obj, purge.group, self.clock - latest_possible_time(purge.at, self.clock, live))
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -352,7 +352,7 @@
         lane.write_queued()
         assert not waiting.written_at and waiting.ended
         order = [getattr(event[0], "__name__", "") for event in route.queue]
-        assert order[-2:] == ["list_changed" if what == "list" else "purged", "hop_ended"]  # it decides anew after it
+        assert order[-2:] == ["apply_list" if what == "list" else "apply_purge", "hop_ended"]  # it decides anew after it
 
 
 def test_a_write_waits_for_word_of_the_board_that_lies_unread():
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -187,4 +187,4 @@
             until(lambda: lane.connected)
             time.sleep(0.1)
             assert not cache.wants, restarts
-            assert [posted[0] for posted in route.queue] == [route.list_changed, route.hop_ended]
+            assert [posted[0] for posted in route.queue] == [route.apply_list, route.hop_ended]
