--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -40,7 +40,7 @@
 
 class RouterHost:
     def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, answer_sender: AnswerSender, send: ConnectionPool):
-        self.site, self.open_txns, self.answer_sender, self.sender = site, open_txns, answer_sender, send
+        self.site, self.open_txns, self.answer_sender, self.pool = site, open_txns, answer_sender, send
         send.host = self
         self.queue: deque = deque()  # bounded by most_queued and the open txns
         self.most_queued = MOST_QUEUED
@@ -343,18 +343,18 @@
                 log.error("unlisted", extra={"kv": {"server": s.name, "why": "unknown zone or kind"}})
         for s in rows:
             if s.state == "up":
-                self.sender.update_endpoint(s.name, s.address, s.state, s.started)
+                self.pool.update_endpoint(s.name, s.address, s.state, s.started)
         if now:
             self.apply_list(change.complete, rows, live=False)
         else:
             self.queue.append((self.apply_list, (change.complete, rows), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         for s in rows:
             if s.state != "up":
-                self.sender.update_endpoint(s.name, s.address, s.state, s.started)
+                self.pool.update_endpoint(s.name, s.address, s.state, s.started)
         if change.complete:
-            for name in set(self.sender.endpoints) - {s.name for s in change.servers}:
-                self.sender.update_endpoint(name, ("", 0), "gone")
-        self.sender.refuse_stale_hops()
+            for name in set(self.pool.endpoints) - {s.name for s in change.servers}:
+                self.pool.update_endpoint(name, ("", 0), "gone")
+        self.pool.refuse_stale_hops()
         if not self.mine.busy:
             self.work()
 
@@ -382,7 +382,7 @@
         if now:
             return self.apply_purge(purge, live=False)
         self.queue.append((self.apply_purge, (purge,), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
-        self.sender.purge_received(purge.obj, purge.group)
+        self.pool.purge_received(purge.obj, purge.group)
         if not self.mine.busy:
             self.work()
 
@@ -441,10 +441,10 @@
     def cancel(self, ident, number) -> None:
         hop = self.hops.get((ident, number))
         if hop is not None and self.give_up(hop):
-            self.sender.report_end(hop, "cancelled" if hop.written_at else "unsent")
+            self.pool.report_end(hop, "cancelled" if hop.written_at else "unsent")
 
     def give_up(self, hop: Hop) -> bool:
-        mine = self.sender.give_up(hop, self.clock)
+        mine = self.pool.give_up(hop, self.clock)
         if mine and hop.connection is not None:
             self.outbox.append((hop.connection, None, None))
         return mine
@@ -453,7 +453,7 @@
         key = hop.ident, hop.number
         self.hops[key] = hop
         self.at(hop.cut_at, key)
-        lane = self.sender.enqueue(hop)
+        lane = self.pool.enqueue(hop)
         if lane is not None:
             self.outbox.append((lane, None, None))
 
