--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -73,7 +73,7 @@
         looks again before it goes, so nothing is left and nobody waits for the lock."""
         self.queue.append((what, about, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         if not self.mine.busy:
-            self.work()
+            self.process_queue()
 
     def start_batch(self) -> None:
         """What this thread posts from here on waits for `handle`, so that what it leads to goes out together."""
@@ -82,9 +82,9 @@
     def finish_batch(self) -> None:
         self.mine.busy = False
         if self.queue:
-            self.work()
+            self.process_queue()
 
-    def work(self, most: int = MOST_FOR_OTHERS) -> bool:
+    def process_queue(self, most: int = MOST_FOR_OTHERS) -> bool:
         """Handle what waits unless another thread is at it: false, then. What an event leads to on sockets goes out
         after a few of them, once the lock is released."""
         mine, queue, lock = self.mine, self.queue, self.lock
@@ -209,7 +209,7 @@
             if left > 0 and not self.queue:
                 self.bell.acquire(timeout=min(left / 1e9, LONGEST))
             self.asleep = False
-            if not self.work(0):
+            if not self.process_queue(0):
                 time.sleep(WAIT_TURN)  # who is at it looks at the timers too
 
     def ring(self) -> None:
@@ -356,7 +356,7 @@
                 self.pool.update_endpoint(name, ("", 0), "gone")
         self.pool.refuse_stale_hops()
         if not self.mine.busy:
-            self.work()
+            self.process_queue()
 
     def apply_list(self, complete: bool, rows: list, live: bool = True) -> None:
         fleet, site = self.router.fleet, self.site
@@ -384,7 +384,7 @@
         self.queue.append((self.apply_purge, (purge,), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         self.pool.purge_received(purge.obj, purge.group)
         if not self.mine.busy:
-            self.work()
+            self.process_queue()
 
     def apply_purge(self, purge: Purge, live: bool = True) -> None:
         self.purges += 1
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -312,7 +312,7 @@
             thread.join(60)
     finally:
         sys.setswitchinterval(before)
-    route.work(0)  # what a thread that had worked long enough left to the timers' one
+    route.process_queue(0)  # what a thread that had worked long enough left to the timers' one
     assert not overlaps and not route.queue and not holding.broken
     assert len(seen) == 8 * (spread + spread // 10) and len(set(seen)) == len(seen)
     for who in range(8):
@@ -413,15 +413,15 @@
             thread.join(60)
     finally:
         sys.setswitchinterval(before)
-    route.work(0)
+    route.process_queue(0)
     for _ in range(20):  # whatever is still open has its hops ended, tries of their own included
         for ident in list(open_txns.by_id):
             if hops.get(ident):
                 send.end_hop(hops[ident][-1], "unreachable")
-        route.work(0)
+        route.process_queue(0)
     for ident in list(open_txns.by_id):  # followers whose leader had gone
         route.post(route.cut, ident, hops[ident][-1].number if hops.get(ident) else 0)
-    route.work(0)
+    route.process_queue(0)
     double = [ident for ident, words in answered.items() if len(words) != 1]
     both = [ident for ident in answered if ident in withdrawn]
     none = [ident for ident in range(1, count_of + 1) if ident not in answered and ident not in withdrawn]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -644,7 +644,7 @@
     here, there = socket.socketpair()
     route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
-    route.work()
+    route.process_queue()
     admit, client_writer = Admission(route.site, route.open_txns, route, 1000), ClientWriter(here, encode, route.answer_sender)
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
     route.lock.acquire()  # another thread is at it, and does not get on
@@ -678,7 +678,7 @@
         left.append(len(route.queue))
 
     route.queue.append((always, (), clock()))
-    route.work(0)
+    route.process_queue(0)
     assert hop.ended and not route.open_txns.by_id and left[-2] == 1 and clock() >= now + 100 * MS
     assert there.recv(100)[9] == 66
 
