--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -87,5 +87,5 @@
             client_writer.answer(request.stream, Answer("rejected", self.retry_after_ms))
             return True
         self.open_txns.add(txn)
-        self.route.post(self.route.arrived, txn)
+        self.route.post(self.route.txn_arrived, txn)
         return True
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -235,7 +235,7 @@
             if self.asleep:
                 self.ring()
 
-    def arrived(self, txn: Txn) -> None:
+    def txn_arrived(self, txn: Txn) -> None:
         if txn.ident not in self.open_txns.by_id:
             return  # withdrawn while it waited here
         if self.gate is not None:
@@ -269,7 +269,7 @@
         self.gate, held, self.held = None, self.held, {}
         log.info("open", extra={"kv": {"why": why, "took_ms": took // MS, "held": len(held)}})
         for txn in held.values():
-            self.arrived(txn)
+            self.txn_arrived(txn)
 
     def time_is_up(self) -> None:
         """The program is killed soon, and a txn that is open by then would get no answer at all."""
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -400,7 +400,7 @@
                 ident,
             )
             open_txns.add(txn)
-            route.post(route.arrived, txn)
+            route.post(route.txn_arrived, txn)
             end(ident)
 
     threads = [threading.Thread(target=arrive, args=(range(1 + n, count_of + 1, 4),)) for n in range(4)]
@@ -451,7 +451,7 @@
     client_writer.open_stream(1, 1)
     at = clock()
     route.open_txns.add(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, client_writer, 1))
-    route.post(route.arrived, route.open_txns.by_id[1])  # no server is listed
+    route.post(route.txn_arrived, route.open_txns.by_id[1])  # no server is listed
     there.setblocking(False)
     assert there.recv(100)[9] == frames.REJECTED and route.answer_sender.all_delivered()
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -632,7 +632,9 @@
 def test_bodies_that_no_memory_is_left_for_are_refused_at_once():
     here, there = socket.socketpair()
     site, client_writer = deployment(settings()), ClientWriter(here, encode, AnswerSender(1 << 20))
-    admit = Admission(site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, arrived=None, behind=0, post=lambda *about: None), 1000)
+    admit = Admission(
+        site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, txn_arrived=None, behind=0, post=lambda *about: None), 1000
+    )
     for stream in (1, 2):
         admit.handle_request(
             Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), client_writer, clock()
@@ -668,7 +670,7 @@
     client_writer.streams[1] = 1
     now = clock()
     route.open_txns.add(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, client_writer, 1))
-    route.post(route.arrived, route.open_txns.by_id[1])
+    route.post(route.txn_arrived, route.open_txns.by_id[1])
     (hop,) = route.hops.values()
     left = []
 
