--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -376,7 +376,7 @@
     def withdraw(self, ident: int, client_left: bool = False) -> None:
         """Withdraws a txn and notifies the Router, unless the txn has ended already."""
         if self.open_txns.withdraw(ident, client_left):
-            self.route.post(self.route.withdrawn, ident)
+            self.route.post(self.route.txn_withdrawn, ident)
 
     def connection_freed(self, client: ClientConnection) -> None:
         """Removes a connection whose descriptor is free."""
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -148,7 +148,7 @@
                     return False
                 if found is CLIENT_LEFT:
                     if self.open_txns.withdraw(txn.ident, client_left=True):  # else its reader did so just now
-                        self.host.post(self.host.withdrawn, txn.ident)
+                        self.host.post(self.host.txn_withdrawn, txn.ident)
                     txn = None
             if txn is None:
                 self.refuse(hop, Refusal.CLIENT_LEFT)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -279,7 +279,7 @@
             else:
                 self.router.time_is_up(ident)
 
-    def withdrawn(self, ident: int) -> None:
+    def txn_withdrawn(self, ident: int) -> None:
         self.held.pop(ident, None)
         self.router.txn_withdrawn(ident)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -613,7 +613,7 @@
 class Events:
     """In place of route: keeps what is posted."""
 
-    hop_ended, withdrawn = "hop_ended", "withdrawn"
+    hop_ended, txn_withdrawn = "hop_ended", "withdrawn"
 
     def __init__(self):
         self.posted = []
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -362,7 +362,7 @@
 def entered(most=8):
     """A place where clients are taken in, without the thread that accepts them: a test says when one is."""
     open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
-    route = SimpleNamespace(start_batch=lambda: None, finish_batch=lambda: None, post=lambda *about: None, withdrawn=None)
+    route = SimpleNamespace(start_batch=lambda: None, finish_batch=lambda: None, post=lambda *about: None, txn_withdrawn=None)
     admit = SimpleNamespace(taken=[], retry_after_ms=0)
     admit.handle_request = lambda request, client_writer, now: (
         client_writer.open_stream(request.stream, 7) and not admit.taken.append(request.stream)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -366,7 +366,7 @@
                 if streams.pop(ident, None) is not None:
                     withdrawn.add(ident)
                     if open_txns.withdraw(ident):
-                        route.post(route.withdrawn, ident)
+                        route.post(route.txn_withdrawn, ident)
             elif hop is None:
                 continue
             elif what == "cut":
