--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -218,7 +218,7 @@
         while (took := time.monotonic() - began) < self.longest + STILL_COMING:
             late = took > STILL_COMING + left
             if late and self.open_txns.by_id:
-                self.route.post(self.route.time_is_up)
+                self.route.post(self.route.end_open_txns)
             if may_exit(self.client_listener.shut_connections(late), len(self.open_txns.by_id), not self.answer_sender.all_delivered()):
                 break
             time.sleep(0.01)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -271,7 +271,7 @@
         for txn in held.values():
             self.txn_arrived(txn)
 
-    def time_is_up(self) -> None:
+    def end_open_txns(self) -> None:
         """The program is killed soon, and a txn that is open by then would get no answer at all."""
         for ident in list(self.open_txns.by_id):
             if ident in self.held:
