--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -122,7 +122,7 @@
             self.board.excused = self.board.heard
         if self.talk is not None and not self.talk.state_known.wait(max(0.0, wait - (time.monotonic() - began))):
             log.warning("fleet_unheard", extra={"kv": {"why": "no member told what is out for work; the board's list stands"}})
-        self.route.post(self.route.open, "current" if told else "no word of the board")
+        self.route.post(self.route.open_gate, "current" if told else "no word of the board")
         if self.talk is not None:
             self.talk.overlay.startup_gate_opened()
         if self.client_listener.set_ready():
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -123,15 +123,15 @@
         if not self.gate_opened:  # the startup gate is still closed
             return
         if rejects_all:
-            self.route.post(self.route.shut, Shut(), "no word of the fleet")
+            self.route.post(self.route.close_gate, Shut(), "no word of the fleet")
         else:
-            self.route.post(self.route.open, "word of the fleet")
+            self.route.post(self.route.open_gate, "word of the fleet")
 
     def startup_gate_opened(self) -> None:
         """The startup gate has opened. Without this, a router to which the list was unknown before the gate opened would serve."""
         self.gate_opened = True
         if self.rejects_all:
-            self.route.post(self.route.shut, Shut(), "no word of the fleet")
+            self.route.post(self.route.close_gate, Shut(), "no word of the fleet")
 
     def count_open_hops(self, machines) -> dict[str, int]:
         """The number of hops that are open at each machine, or that name it as their source."""
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -254,14 +254,14 @@
             self.open_txns.count("held_back")
             self.reject(ident, self.site.router["longest_come_back"])
 
-    def shut(self, gate, why: str) -> None:
+    def close_gate(self, gate, why: str) -> None:
         """No txn is decided on until `open`; the start's own gate stays where it is."""
         if self.gate is None:
             gate.shut_at = self.clock
             self.gate = gate
             log.warning("shut", extra={"kv": {"why": why}})
 
-    def open(self, why: str) -> None:
+    def open_gate(self, why: str) -> None:
         """The list is what the board holds, or is all there is: txns are decided on from now on."""
         if self.gate is None:
             return
