--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -162,7 +162,7 @@
         elif ident == OVERDUE:
             self.answer_overdue()
         else:
-            self.cut(ident, number)
+            self.hop_timed_out(ident, number)
 
     def failed(self, about: tuple) -> None:
         """An unforeseen error came in an event or a timer: it costs the request that it was about, which is answered at once. Where it
@@ -325,7 +325,7 @@
             },
         )
 
-    def cut(self, ident: int, number: int) -> None:
+    def hop_timed_out(self, ident: int, number: int) -> None:
         """A timer, not a call of the Router's: its end is told at once, before what else waits here."""
         hop = self.hops.get((ident, number))
         if hop is not None and self.give_up(hop):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -370,7 +370,7 @@
             elif hop is None:
                 continue
             elif what == "cut":
-                route.post(route.cut, ident, hop.number)
+                route.post(route.hop_timed_out, ident, hop.number)
             elif what == "broken":
                 send.end_hop(hop, "broken")
             else:
@@ -420,7 +420,7 @@
                 send.end_hop(hops[ident][-1], "unreachable")
         route.process_queue(0)
     for ident in list(open_txns.by_id):  # followers whose leader had gone
-        route.post(route.cut, ident, hops[ident][-1].number if hops.get(ident) else 0)
+        route.post(route.hop_timed_out, ident, hops[ident][-1].number if hops.get(ident) else 0)
     route.process_queue(0)
     double = [ident for ident, words in answered.items() if len(words) != 1]
     both = [ident for ident in answered if ident in withdrawn]
