--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -433,7 +433,7 @@
             self.starts.get(source, UNKNOWN)[0],
         )
         txn.hop_count += 1
-        self.go(hop)
+        self.start_hop(hop)
 
     def unsent(self, hop: Hop) -> None:
         self.router.hop_ended(hop.ident, hop.number, "unsent", 0, True, 0, None, None)
@@ -449,7 +449,7 @@
             self.outbox.append((hop.connection, None, None))
         return mine
 
-    def go(self, hop: Hop) -> None:
+    def start_hop(self, hop: Hop) -> None:
         key = hop.ident, hop.number
         self.hops[key] = hop
         self.at(hop.cut_at, key)
@@ -492,7 +492,7 @@
 
     def probe(self, server) -> None:
         number = next(self.order)
-        self.go(
+        self.start_hop(
             Hop(
                 PROBE,
                 number,
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -25,7 +25,7 @@
     "a connection is looked for": (("connection_pool", "ConnectionPool", "connection_for", "self, hop", 2), "event"),
     "an attempt's end is decided on": (("router_host", "RouterHost", "hop_ended", "self, *about", 3), "event"),
     "a request is decided on": (("router_host", "RouterHost", "txn_arrived", "self, txn", 3), "event"),
-    "an attempt is handed over": (("router_host", "RouterHost", "go", "self, hop", 3), "event"),
+    "an attempt is handed over": (("router_host", "RouterHost", "start_hop", "self, hop", 3), "event"),
     "a request is read": (("admission", "Admission", "handle_request", "self, *about", 5), "client"),
     "answers of a server are read": (("server_connection", "ServerConnection", "handle_replies", "self, *about", 5), "connection"),
     "an attempt is looked at before its write": (("connection_pool", "ConnectionPool", "start_attempt", "self, hop", 5), "write"),
