--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -105,7 +105,7 @@
                         what, about, posted = queue.popleft()
                         late = now - posted
                         if late > self.lag or late > self.behind or now - self.faded >= FADE_STEP:
-                            self.waited(late)
+                            self.record_lag(late)
                         try:
                             what(*about)
                         except Exception:
@@ -144,7 +144,7 @@
         due = self.wheel.due(now)
         for at, (ident, number) in due:
             self.clock = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-            self.waited(self.clock - at)
+            self.record_lag(self.clock - at)
             try:
                 self.timer_due(ident, number)
             except Exception:
@@ -218,7 +218,7 @@
         except RuntimeError:
             pass  # it rings already
 
-    def waited(self, span: int) -> None:
+    def record_lag(self, span: int) -> None:
         if span > self.lag:
             self.lag = span
         gone = self.clock - self.faded
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -566,9 +566,9 @@
 
 def test_a_lag_is_forgotten_with_time_whatever_the_traffic():
     route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
-    route.waited(800 * MS)
+    route.record_lag(800 * MS)
     route.clock += 2000 * MS
-    route.waited(0)
+    route.record_lag(0)
     assert route.behind == 0
 
 
