--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -69,7 +69,7 @@
             request.body,
             received_at,
             # A Router that lags by `behind` would answer late by as much, so the lag shortens the time limit.
-            min(received_at + time_limit - PROTOCOL_SLACK // 2 - self.route.behind, self.latest_deadline),
+            min(received_at + time_limit - PROTOCOL_SLACK // 2 - self.route.recent_lag, self.latest_deadline),
             client_writer,
             request.stream,
         )
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -56,8 +56,8 @@
         self.starts: dict[str, tuple[int, int]] = {}  # of servers: as told, and by this process' clock
         self.hops: dict[tuple[int, int], Hop] = {}  # out, by the Router's numbers
         self.clock = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-        self.lag = 0  # longest that an event or timer waited since the last look
-        self.behind = 0  # the same, fading: how late this thread now is
+        self.max_lag = 0  # longest that an event or timer waited since the last look
+        self.recent_lag = 0  # the same, fading: how late this thread now is
         self.faded = self.clock
         self.router = build_router(self, seed, site)
         self.gate: Gate | None = None  # while it is there, txns wait for the board's first word
@@ -104,7 +104,7 @@
                             break
                         what, about, posted = queue.popleft()
                         late = now - posted
-                        if late > self.lag or late > self.behind or now - self.faded >= FADE_STEP:
+                        if late > self.max_lag or late > self.recent_lag or now - self.faded >= FADE_STEP:
                             self.record_lag(late)
                         try:
                             what(*about)
@@ -219,12 +219,12 @@
             pass  # it rings already
 
     def record_lag(self, span: int) -> None:
-        if span > self.lag:
-            self.lag = span
+        if span > self.max_lag:
+            self.max_lag = span
         gone = self.clock - self.faded
-        if span > self.behind or gone >= FADE_STEP:
+        if span > self.recent_lag or gone >= FADE_STEP:
             self.faded = self.clock
-            self.behind = max(span, self.behind - self.behind * min(gone, FADE) // FADE)
+            self.recent_lag = max(span, self.recent_lag - self.recent_lag * min(gone, FADE) // FADE)
 
     def at(self, when: int, key: tuple) -> None:
         """A hop's cut, or an alarm of the Router's."""
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -569,7 +569,7 @@
     route.record_lag(800 * MS)
     route.clock += 2000 * MS
     route.record_lag(0)
-    assert route.behind == 0
+    assert route.recent_lag == 0
 
 
 def test_a_connection_that_went_silent_is_not_used_again():
@@ -633,7 +633,7 @@
     here, there = socket.socketpair()
     site, client_writer = deployment(settings()), ClientWriter(here, encode, AnswerSender(1 << 20))
     admit = Admission(
-        site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, txn_arrived=None, behind=0, post=lambda *about: None), 1000
+        site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, txn_arrived=None, recent_lag=0, post=lambda *about: None), 1000
     )
     for stream in (1, 2):
         admit.handle_request(
