--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -45,7 +45,7 @@
         self.queue: deque = deque()  # bounded by most_queued and the open txns
         self.most_queued = MOST_QUEUED
         self.lock = threading.Lock()  # of the Router, the wheel and all below; taken without waiting
-        self.caller = None  # the thread in the Router
+        self.router_thread = None  # the thread in the Router
         self.mine, self.outbox = Mine(), []  # what to write once the lock is released
         self.wheel, self.wakes = TimerWheel(), {}  # wakes: times of the Router's alarms
         self.soonest = NEVER  # no timer is due before
@@ -92,9 +92,9 @@
         try:
             while lock.acquire(False):
                 try:
-                    if self.caller is not None:
+                    if self.router_thread is not None:
                         check_invariant(False, "one caller in the Router at a time")
-                    self.caller = me = threading.get_ident()
+                    self.router_thread = me = threading.get_ident()
                     left = AT_ONCE
                     while left:
                         self.clock = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
@@ -111,9 +111,9 @@
                         except Exception:
                             self.failed(about)
                         left -= 1
-                    if self.caller != me:
+                    if self.router_thread != me:
                         check_invariant(False, "one caller in the Router at a time")
-                    self.caller = None
+                    self.router_thread = None
                     done = self.outbox
                     if done:
                         self.outbox = []
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -323,7 +323,7 @@
 def test_a_second_caller_in_the_router_is_noticed(monkeypatch):
     monkeypatch.setattr(threading, "excepthook", lambda args: None)
     route = plain_route()
-    route.caller = 1
+    route.router_thread = 1
     with pytest.raises(AssertionError):
         route.post(lambda: None)
 
@@ -438,7 +438,7 @@
         route.post(after.append, wrong)
     assert after == [ValueError, OSError, KeyError] and not told
     assert holding.contained_errors.log_fields()["contained_event"] == before + 3
-    assert not route.lock.locked() and route.caller is None
+    assert not route.lock.locked() and route.router_thread is None
     with pytest.raises(AssertionError):  # what must hold is not contained
         route.post(lambda: holding.check_invariant(False, "a thing"))
     assert told == [AssertionError] and not route.lock.locked()
