--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -77,7 +77,7 @@
             len(self.open_txns.by_id),
             self.max_open_txns,
             len(self.route.queue),
-            self.route.most_queued,
+            self.route.max_queued,
             self.open_txns.body_bytes + len(txn.body),
             self.max_body_bytes,
         )
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -28,7 +28,7 @@
 WATCH_OVERDUE, LONGEST_WATCH = 100 * MS, 60_000 * MS  # after an unforeseen error, requests past their time are looked for
 UNKNOWN = 0, 0  # start of a server that is not listed, or has stood from the first
 BY_ROUTER = -1  # in place of a hop's number: its own answers
-MOST_QUEUED = 512  # events; beyond, new txns are rejected at once
+MAX_QUEUED = 512  # events; beyond, new txns are rejected at once
 AT_ONCE, MOST_FOR_OTHERS = 16, 8  # events under one lock; such turns that a thread takes on end
 LOOK_AGAIN = 250 * MS  # at an empty wheel
 LONGEST, WAIT_TURN = 3600.0, 0.0005  # seconds that the timers' thread sleeps at most; that it leaves to who is at it
@@ -43,7 +43,7 @@
         self.site, self.open_txns, self.answer_sender, self.pool = site, open_txns, answer_sender, send
         send.host = self
         self.queue: deque = deque()  # bounded by most_queued and the open txns
-        self.most_queued = MOST_QUEUED
+        self.max_queued = MAX_QUEUED
         self.lock = threading.Lock()  # of the Router, the wheel and all below; taken without waiting
         self.router_thread = None  # the thread in the Router
         self.mine, self.outbox = Mine(), []  # what to write once the lock is released
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -13,7 +13,7 @@
 from fieldspur.net import resp
 from fieldspur.net.discovery import DiscoveryClient, ListChange, ListedServer
 from fieldspur.net.nonblocking import receive_poll
-from fieldspur.net.router_host import MOST_QUEUED, RouterHost
+from fieldspur.net.router_host import MAX_QUEUED, RouterHost
 from fieldspur.net.server_connection import Hop
 from fieldspur.permissions import Gate
 from fieldspur.site import MS
@@ -341,7 +341,7 @@
     lane = go(send, hop(1))
     until(lambda: cache.wants)
     with route.lock:  # the Router is at something
-        for _ in range(MOST_QUEUED - 12):
+        for _ in range(MAX_QUEUED - 12):
             route.post(lambda: None)
         waiting = hop(2)
         assert send.enqueue(waiting) is lane
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -633,7 +633,7 @@
     here, there = socket.socketpair()
     site, client_writer = deployment(settings()), ClientWriter(here, encode, AnswerSender(1 << 20))
     admit = Admission(
-        site, OpenTxns(), SimpleNamespace(queue=(), most_queued=512, txn_arrived=None, recent_lag=0, post=lambda *about: None), 1000
+        site, OpenTxns(), SimpleNamespace(queue=(), max_queued=512, txn_arrived=None, recent_lag=0, post=lambda *about: None), 1000
     )
     for stream in (1, 2):
         admit.handle_request(
