--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -47,7 +47,7 @@
         self.lock = threading.Lock()  # of the Router, the wheel and all below; taken without waiting
         self.router_thread = None  # the thread in the Router
         self.mine, self.outbox = Mine(), []  # what to write once the lock is released
-        self.wheel, self.wakes = TimerWheel(), {}  # wakes: times of the Router's alarms
+        self.timers, self.alarms = TimerWheel(), {}  # wakes: times of the Router's alarms
         self.soonest = NEVER  # no timer is due before
         self.used = self.asleep = False  # a timer was set since the last look; the timers' thread sleeps
         self.bell = threading.Lock()
@@ -141,7 +141,7 @@
     def tick(self) -> None:
         """All timers that are due, by exact time; cuts first, for each is a final answer's last moment."""
         self.clock = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-        due = self.wheel.due(now)
+        due = self.timers.due(now)
         for at, (ident, number) in due:
             self.clock = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
             self.record_lag(self.clock - at)
@@ -150,12 +150,12 @@
             except Exception:
                 self.failed((ident if ident > PROBE else number,))
         # An empty wheel is looked at once more, or the next txn would have to wake the thread of the timers.
-        self.soonest = min(self.wheel.next(), now + LOOK_AGAIN if due or self.used else NEVER)
+        self.soonest = min(self.timers.next(), now + LOOK_AGAIN if due or self.used else NEVER)
         self.used = False
 
     def timer_due(self, ident: int, number: int) -> None:
         if ident == ALARM:
-            self.wakes.pop(number, None)
+            self.alarms.pop(number, None)
             self.router.woken(number)
         elif ident == HELD:
             self.turn_away(number)
@@ -228,7 +228,7 @@
 
     def at(self, when: int, key: tuple) -> None:
         """A hop's cut, or an alarm of the Router's."""
-        self.wheel.add(when, key)
+        self.timers.add(when, key)
         self.used = True
         if when < self.soonest:
             self.soonest = when
@@ -287,7 +287,7 @@
         load = reply.load if reply else None
         self.attempts[result] += 1
         if self.hops.pop((hop.ident, hop.number), None) is not None:
-            self.wheel.cancel(hop.cut_at, (hop.ident, hop.number))
+            self.timers.cancel(hop.cut_at, (hop.ident, hop.number))
         if hop.want is None:
             return self.router.probe_ended(hop.server, result, took, load)
         final = result == "completed" or hop.ident not in self.open_txns.by_id
@@ -484,11 +484,11 @@
             self.answer_sender.undelivered.discard((ident, BY_ROUTER))
 
     def wake(self, label, at) -> None:
-        self.wakes[label] = at
+        self.alarms[label] = at
         self.at(at, (ALARM, label))
 
     def forget(self, label) -> None:
-        self.wheel.cancel(self.wakes.pop(label, 0), (ALARM, label))
+        self.timers.cancel(self.alarms.pop(label, 0), (ALARM, label))
 
     def probe(self, server) -> None:
         number = next(self.order)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -470,7 +470,7 @@
     route.post(set_timers)
     until(lambda: len(told) == 2)
     assert [label for label, _ in told] == [3, 2] and all(at >= base + after * MS for (_, at), after in zip(told, (30, 60)))
-    assert route.wheel.count == 1 and list(route.wakes) == [1]
+    assert route.timers.count == 1 and list(route.alarms) == [1]
 
 
 # The guard.
