--- a/fieldspur/bench/timers.py
+++ b/fieldspur/bench/timers.py
@@ -28,7 +28,7 @@
     def cancel(self, at, key):
         return self.live.pop(key, None) is not None
 
-    def due(self, now):
+    def pop_due(self, now):
         found = []
         while self.rows and self.rows[0][0] <= now:
             at, key = heapq.heappop(self.rows)
@@ -49,7 +49,7 @@
         if n >= 1000 and n - 1000 not in keep:
             made.cancel(rows[n - 1000][0], n - 1000)
         if n % 64 == 0:
-            made.due(n * between)
+            made.pop_due(n * between)
             held = max(held, len(made.rows) if isinstance(made, Heap) else sum(map(len, made.slots.values())))
     return (time.perf_counter() - began) / count * 1e6, held
 
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -141,7 +141,7 @@
     def tick(self) -> None:
         """All timers that are due, by exact time; cuts first, for each is a final answer's last moment."""
         self.clock = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-        due = self.timers.due(now)
+        due = self.timers.pop_due(now)
         for at, (ident, number) in due:
             self.clock = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
             self.record_lag(self.clock - at)
@@ -150,7 +150,7 @@
             except Exception:
                 self.failed((ident if ident > PROBE else number,))
         # An empty wheel is looked at once more, or the next txn would have to wake the thread of the timers.
-        self.soonest = min(self.timers.next(), now + LOOK_AGAIN if due or self.used else NEVER)
+        self.soonest = min(self.timers.next_time(), now + LOOK_AGAIN if due or self.used else NEVER)
         self.used = False
 
     def timer_due(self, ident: int, number: int) -> None:
--- a/fieldspur/net/timer_wheel.py
+++ b/fieldspur/net/timer_wheel.py
@@ -32,7 +32,7 @@
         self.count -= 1
         return True
 
-    def next(self) -> int:
+    def next_time(self) -> int:
         """The earliest time set; NEVER where none is."""
         while self.order:
             slot = self.slots[self.order[0]]
@@ -41,7 +41,7 @@
             del self.slots[heapq.heappop(self.order)]
         return NEVER
 
-    def due(self, now: int) -> list[tuple]:
+    def pop_due(self, now: int) -> list[tuple]:
         """Takes out all timers up to `now`, as (time, key), earliest first, equal ones as they were added."""
         found, last = [], now >> SHIFT
         while self.order and self.order[0] <= last:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -53,10 +53,10 @@
         elif what == "d":
             now_at = max(now_at, value)
             due = sorted((at, key) for key, at in plain.items() if at <= now_at)
-            assert sorted(wheel.due(now_at)) == due
+            assert sorted(wheel.pop_due(now_at)) == due
             for _, key in due:
                 del plain[key]
-        assert wheel.next() == min(plain.values(), default=NEVER) and wheel.count == len(plain)
+        assert wheel.next_time() == min(plain.values(), default=NEVER) and wheel.count == len(plain)
 
 
 @tries(deadline=None, derandomize=True)
