--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -164,7 +164,7 @@
                     "list_changes": self.board.list_changes,
                     "purges": self.board.purges,
                     "rev": self.board.last,
-                    "broken": sum(invariants.broken.values()),
+                    "broken": sum(invariants.violation_counts.values()),
                     **self.reasons(),
                     **{f"shape_{kind}": n for kind, n in self.route.router.differs.items()},
                 }
--- a/fieldspur/net/invariants.py
+++ b/fieldspur/net/invariants.py
@@ -19,7 +19,7 @@
     Result = TypeVar("Result")
 
 log = logging.getLogger("fieldspur.holds")
-broken: dict[str, int] = {}  # how often each has failed, by name
+violation_counts: dict[str, int] = {}  # how often each has failed, by name
 RUN_AGAIN_S = 0.05  # until a thread that the program can't do without goes on after an error
 MOST_IN_A_ROW = 100  # errors of such a thread, each within STEADY_S of the one before; then it is the program's end
 STEADY_S = 1.0
@@ -30,8 +30,8 @@
     if true:
         return True
     assert False, f"{what}: {about}"
-    broken[what] = broken.get(what, 0) + 1
-    log.error("broken", extra={"kv": {"what": what, "times": broken[what], **about}})
+    violation_counts[what] = violation_counts.get(what, 0) + 1
+    log.error("broken", extra={"kv": {"what": what, "times": violation_counts[what], **about}})
     return False
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -313,7 +313,7 @@
     finally:
         sys.setswitchinterval(before)
     route.process_queue(0)  # what a thread that had worked long enough left to the timers' one
-    assert not overlaps and not route.queue and not holding.broken
+    assert not overlaps and not route.queue and not holding.violation_counts
     assert len(seen) == 8 * (spread + spread // 10) and len(set(seen)) == len(seen)
     for who in range(8):
         mine = [n for other, n in seen if other == who and n >= 0]
@@ -425,7 +425,7 @@
     double = [ident for ident, words in answered.items() if len(words) != 1]
     both = [ident for ident in answered if ident in withdrawn]
     none = [ident for ident in range(1, count_of + 1) if ident not in answered and ident not in withdrawn]
-    assert not double and not both and not none and not open_txns.by_id and answer_sender.all_delivered() and not holding.broken
+    assert not double and not both and not none and not open_txns.by_id and answer_sender.all_delivered() and not holding.violation_counts
 
 
 def test_an_error_in_the_router_costs_its_event_alone_whatever_its_kind_and_thread(monkeypatch):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -507,7 +507,7 @@
         holding.check_invariant(False, "a thing")
     code = (
         "from fieldspur.net import logs, invariants as h; logs.begin()\n"
-        "print(h.check_invariant(True, 'a'), h.check_invariant(False, 'b', n=1), h.check_invariant(False, 'b'), h.broken)"
+        "print(h.check_invariant(True, 'a'), h.check_invariant(False, 'b', n=1), h.check_invariant(False, 'b'), h.violation_counts)"
     )
     done = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, timeout=20)
     assert done.stdout.decode().strip() == "True False False {'b': 2}" and b"event=broken" in done.stderr
