--- a/fieldspur/net/invariants.py
+++ b/fieldspur/net/invariants.py
@@ -20,9 +20,9 @@
 
 log = logging.getLogger("fieldspur.holds")
 violation_counts: dict[str, int] = {}  # how often each has failed, by name
-RUN_AGAIN_S = 0.05  # until a thread that the program can't do without goes on after an error
-MOST_IN_A_ROW = 100  # errors of such a thread, each within STEADY_S of the one before; then it is the program's end
-STEADY_S = 1.0
+RESTART_PAUSE_S = 0.05  # until a thread that the program can't do without goes on after an error
+MAX_CONSECUTIVE_ERRORS = 100  # errors of such a thread, each within STEADY_S of the one before; then it is the program's end
+CONSECUTIVE_WITHIN_S = 1.0
 
 
 def check_invariant(true, what: str, **about) -> bool:
@@ -87,9 +87,9 @@
             return run()
         except Exception:
             now = time.monotonic()
-            in_a_row = in_a_row + 1 if now - failed_at < STEADY_S else 1
+            in_a_row = in_a_row + 1 if now - failed_at < CONSECUTIVE_WITHIN_S else 1
             failed_at = now
-            if in_a_row >= MOST_IN_A_ROW:
+            if in_a_row >= MAX_CONSECUTIVE_ERRORS:
                 raise
             contained_errors.record(name)
-        time.sleep(RUN_AGAIN_S)
+        time.sleep(RESTART_PAUSE_S)
--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -65,7 +65,7 @@
 
 
 def test_work_that_the_program_needs_goes_on_after_an_error_and_ends_the_program_where_it_never_does(monkeypatch):
-    monkeypatch.setattr(invariants, "RUN_AGAIN_S", 0.0)
+    monkeypatch.setattr(invariants, "RESTART_PAUSE_S", 0.0)
     calls = []
 
     def fails_twice():
@@ -83,4 +83,4 @@
 
     with pytest.raises(ValueError):
         keep_running("test", fails)
-    assert len(calls) == invariants.MOST_IN_A_ROW
+    assert len(calls) == invariants.MAX_CONSECUTIVE_ERRORS
