--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -198,7 +198,7 @@
         elif wishes.fleet != self.wishes.fleet:
             kept.append("fleet")
         self.wishes = replace(self.wishes, log=wishes.log, counts=wishes.counts, fleet=replace(self.wishes.fleet, first=first))
-        logs.begin(level_of(node, wishes), wishes.log.lines_a_second)
+        logs.configure(level_of(node, wishes), wishes.log.lines_a_second)
         log.log(
             logging.WARNING if kept else logging.INFO,
             "reloaded",
@@ -247,7 +247,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # in all threads; the main one waits for them
     try:
         node, wishes = files_of(os.environ)
-        logs.begin(level_of(node, wishes), wishes.log.lines_a_second)
+        logs.configure(level_of(node, wishes), wishes.log.lines_a_second)
         sys.setswitchinterval(wishes.interpreter.switch_ms / 1000)
         service = Service(node, wishes)
     except (BadSite, BadFile) as bad:
--- a/fieldspur/net/logs.py
+++ b/fieldspur/net/logs.py
@@ -8,7 +8,7 @@
 import threading
 from enum import Enum
 
-MOST_A_SECOND = 20  # lines of one event, where nobody says otherwise
+MAX_LINES_PER_SECOND = 20  # lines of one event, where nobody says otherwise
 
 
 class ReasonCounter:
@@ -38,7 +38,7 @@
     return int(peak.split()[1]) / 1024
 
 
-def word(value) -> str:
+def format_value(value) -> str:
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     plain = text and not any(c in ' ="\\' or not c.isprintable() for c in text)
     return text if plain else json.dumps(text)
@@ -53,7 +53,7 @@
     return {"error": type(error).__name__, "what": str(error), "at": place}
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """`ts=... level=... part=... event=... key=value ...`"""
 
     def format(self, record: logging.LogRecord) -> str:
@@ -66,13 +66,13 @@
         }
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={word(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={format_value(value)}" for key, value in pairs.items())
 
 
-class Flood(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Lets through so many lines of one event in a second; the next one after tells how many were left out."""
 
-    def __init__(self, most: int = MOST_A_SECOND):
+    def __init__(self, most: int = MAX_LINES_PER_SECOND):
         super().__init__()
         self.most = most
         self.seen: dict[tuple, list[int]] = {}  # by part and event: the second, lines in it, lines left out
@@ -99,11 +99,11 @@
     logging.logThreads = logging.logProcesses = logging.logMultiprocessing = False
 
 
-def begin(level: int = logging.INFO, most: int = MOST_A_SECOND) -> None:
+def configure(level: int = logging.INFO, most: int = MAX_LINES_PER_SECOND) -> None:
     skip_unused_fields()
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(KeyValue())
-    handler.addFilter(Flood(most))
+    handler.setFormatter(KeyValueFormatter())
+    handler.addFilter(RateLimitFilter(most))
     root = logging.getLogger("fieldspur")
     root.handlers[:], root.propagate = [handler], False
     root.setLevel(level)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -11,7 +11,7 @@
 
 from fieldspur.net import frames, resp
 from fieldspur.net.client_listener import UsedStreams
-from fieldspur.net.logs import MOST_A_SECOND, Flood, KeyValue, word
+from fieldspur.net.logs import MAX_LINES_PER_SECOND, KeyValueFormatter, RateLimitFilter, format_value
 from fieldspur.site import BadSite, deployment, read_node
 
 HEXES = st.text("0123456789abcdef", min_size=16, max_size=16)
@@ -254,20 +254,20 @@
 def test_log_lines_are_key_value_pairs():
     record = logging.LogRecord("fieldspur.route", logging.INFO, "", 1, "decided", (), None)
     record.kv = {"text": 'a "b" c', "n": 3, "share": 0.25}
-    line = KeyValue().format(record)
+    line = KeyValueFormatter().format(record)
     assert line.endswith(r'level=info part=route event=decided text="a \"b\" c" n=3 share=0.250') and "\n" not in line
-    assert word("") == '""'
+    assert format_value("") == '""'
 
 
 def test_a_flood_of_one_event_does_not_fill_the_log():
-    flood, lines = Flood(), []
+    flood, lines = RateLimitFilter(), []
     for second in (7.0, 8.0):
-        for _ in range(MOST_A_SECOND + 5):
+        for _ in range(MAX_LINES_PER_SECOND + 5):
             record = logging.LogRecord("fieldspur.admit", logging.WARNING, "", 1, "unusable", (), None)
             record.created = second
             if flood.filter(record):
                 lines.append(getattr(record, "kv", {}))
-    assert len(lines) == 2 * MOST_A_SECOND and lines[MOST_A_SECOND] == {"left_out": 5} and lines.count({}) == 39
+    assert len(lines) == 2 * MAX_LINES_PER_SECOND and lines[MAX_LINES_PER_SECOND] == {"left_out": 5} and lines.count({}) == 39
 
 
 def test_the_new_shape_is_read_with_defaults_that_keep_the_old_one():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -495,7 +495,7 @@
 
 def test_an_exception_in_a_thread_ends_the_program():
     code = (
-        "import threading, time, fieldspur.__main__ as m; m.logs.begin(); threading.excepthook = m.fail\n"
+        "import threading, time, fieldspur.__main__ as m; m.logs.configure(); threading.excepthook = m.fail\n"
         "threading.Thread(target=lambda: 1 / 0).start(); time.sleep(30)"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, timeout=20)
@@ -506,7 +506,7 @@
     with pytest.raises(AssertionError):
         holding.check_invariant(False, "a thing")
     code = (
-        "from fieldspur.net import logs, invariants as h; logs.begin()\n"
+        "from fieldspur.net import logs, invariants as h; logs.configure()\n"
         "print(h.check_invariant(True, 'a'), h.check_invariant(False, 'b', n=1), h.check_invariant(False, 'b'), h.violation_counts)"
     )
     done = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, timeout=20)
