--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -71,7 +71,7 @@
     body: memoryview | bytes  # of the connection's own buffer: good until it is read on
 
 
-def array(*items: bytes) -> bytes:
+def encode_array(*items: bytes) -> bytes:
     parts = [b"*%d\r\n" % len(items)]
     for item in items:
         parts += (b"$%d\r\n" % len(item), item, b"\r\n")
@@ -84,7 +84,7 @@
     return "+".join(word for word, on in (("collapse", w.join), ("only-if-cached", not w.fetch), ("refresh", w.renew)) if on)
 
 
-def want(w: Want) -> tuple:
+def encode_want(w: Want) -> tuple:
     """Buffers in their order; a body goes apart, as it is."""
     fields = f"cls={w.rule},item={w.obj},chunk={w.part},limit={w.limit_ms}"
     if w.key:
@@ -104,12 +104,12 @@
     return (head, w.body, b"\r\n") if w.body else (head + b"\r\n",)
 
 
-def never_mind(ident: str) -> bytes:
-    return array(b"never_mind", ident.encode())
+def encode_never_mind(ident: str) -> bytes:
+    return encode_array(b"never_mind", ident.encode())
 
 
-def probe(tag: str) -> bytes:
-    return array(b"busy", tag.encode())
+def encode_probe(tag: str) -> bytes:
+    return encode_array(b"busy", tag.encode())
 
 
 def load_of(text: str) -> dict[str, float] | None:
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -212,7 +212,7 @@
         elsewhere: past the mark the words lie right behind that hop."""
         while self.cancels:
             self.cancels_in_write.append(self.cancels.popleft())
-        data = b"".join([resp.never_mind(hop.name) for hop in self.cancels_in_write if hop.written_at])  # others never went out
+        data = b"".join([resp.encode_never_mind(hop.name) for hop in self.cancels_in_write if hop.written_at])  # others never went out
         left = write_nonblocking(self.sock, (data,)) if data else ()
         if left:
             self.past = True
@@ -245,7 +245,7 @@
         if hop.want is not None and not self.queue:  # the ordinary case of what follows
             if not self.pool.start_attempt(hop):
                 return (), None, False
-            data = resp.want(hop.want)
+            data = resp.encode_want(hop.want)
             try:
                 left = write_nonblocking(self.sock, data)
             except OSError:
@@ -255,7 +255,7 @@
         messages = []
         while hop is not None:
             if self.pool.start_attempt(hop):
-                messages.append((hop, resp.want(hop.want) if hop.want else (resp.probe(hop.name),)))
+                messages.append((hop, resp.encode_want(hop.want) if hop.want else (resp.encode_probe(hop.name),)))
             hop = self.next_attempt() if len(messages) < MOST_AT_ONCE else None
         if not messages:
             return (), None, False
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -91,7 +91,7 @@
 )
 def test_replies_survive_any_split_of_reads(rows, cuts):
     data = b"".join(
-        resp.array(
+        resp.encode_array(
             ident.encode(),
             said.encode(),
             f"entity=e,tell={note},delay={delay},meter=inflight:7;util:0.5".encode() if note else b"entity=e",
@@ -123,7 +123,7 @@
 )
 def test_an_answer_with_something_off_is_not_taken_for_a_good_one(items):
     with pytest.raises(resp.BadReply):
-        list(resp.Decoder().feed(resp.array(b"9b1f03aa5c7e2d41", *items)))
+        list(resp.Decoder().feed(resp.encode_array(b"9b1f03aa5c7e2d41", *items)))
 
 
 def test_figures_of_a_load_report_that_count_nothing_are_left_out():
@@ -147,11 +147,11 @@
         tag=None,
         body=b"",
     )
-    assert b"".join(resp.want(resp.Want(**base))) == resp.array(
+    assert b"".join(resp.encode_want(resp.Want(**base))) == resp.encode_array(
         b"want", b"9b1f03aa5c7e2d41", b"cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=1500", b""
     )
     full = base | dict(key="k", source="p0", rank=2, within_ms=40, join=True, renew=True, fetch=False, tag="t", body=b"x")
-    assert b"".join(resp.want(resp.Want(**full))) == resp.array(
+    assert b"".join(resp.encode_want(resp.Want(**full))) == resp.encode_array(
         b"want",
         b"9b1f03aa5c7e2d41",
         b"cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=1500,nonce=k,miss=p0,prio=2,within=40,f=collapse+only-if-cached+refresh,mine=t",
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -258,8 +258,8 @@
     until(lambda: lane.connected and not lane.queue)
     hops = [hop(n) for n in (2, 3, 4)]
     for one in hops:
-        one.want.body = b"x" * (500 - sum(map(len, resp.want(one.want))))
-    sizes = [sum(map(len, resp.want(one.want))) for one in hops]
+        one.want.body = b"x" * (500 - sum(map(len, resp.encode_want(one.want))))
+    sizes = [sum(map(len, resp.encode_want(one.want))) for one in hops]
     takes = iter([taken])  # and nothing of what is left
     monkeypatch.setattr("fieldspur.net.server_connection.write_nonblocking", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
     lane.draining = True  # nobody else pumps
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -111,7 +111,7 @@
 @given(st.lists(st.integers(0, 120_000), max_size=4), st.lists(st.integers(1, 70_000), min_size=1, max_size=30))
 def test_long_answers_pass_whole_whatever_the_reads_bring(sizes, reads):
     bodies = [b"%04d" % n * (size // 4) for n, size in enumerate(sizes)]
-    data = b"".join(resp.array(b"%016x" % n, b"ACK", b"entity=e", body) for n, body in enumerate(bodies))
+    data = b"".join(resp.encode_array(b"%016x" % n, b"ACK", b"entity=e", body) for n, body in enumerate(bodies))
     decoder, found, at = resp.Decoder(), [], 0
     while at < len(data):
         room = decoder.window.free_space()
@@ -125,7 +125,7 @@
 def test_an_array_that_grows_beyond_any_answer_ends_the_reading():
     decoder = resp.Decoder()
     with pytest.raises(resp.BadReply):
-        list(decoder.feed(resp.array(b"a" * 200_000, b"b" * 200_000, b"c")))
+        list(decoder.feed(resp.encode_array(b"a" * 200_000, b"b" * 200_000, b"c")))
 
 
 def test_a_write_that_can_not_wait_tells_what_is_left(monkeypatch):
@@ -222,7 +222,7 @@
     class Hasty(Listener):
         def serve(self, conn):
             conn.recv(2000)
-            conn.sendall(resp.array(b"a" * 16, b"EIO", b"-"))
+            conn.sendall(resp.encode_array(b"a" * 16, b"EIO", b"-"))
             seen.set()
             while conn.recv(65_536):
                 pass
@@ -250,7 +250,7 @@
         client_writers[n % 2].open_stream(n + 1, n + 1)
         send.open_txns.add(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, client_writers[n % 2], n + 1))
         go(send, Hop(n + 1, 0, name, "c0", None, want(name), at))
-        data += resp.array(name.encode(), b"ACK", b"entity=e,issued=1", b"body-%d" % n)
+        data += resp.encode_array(name.encode(), b"ACK", b"entity=e,issued=1", b"body-%d" % n)
     seen, put = [], ClientWriter.uncork
 
     def look(self):
