--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -8,7 +8,7 @@
 from fieldspur.record import record
 from fieldspur.site import LOADS, MS
 
-RESULTS = {
+RESULT_BY_WORD = {
     "ACK": "completed",
     "NOMOD": "completed",
     "NOENT": "missing",
@@ -18,7 +18,7 @@
     "READY": "completed",
     "AILING": "error",
 }
-NOTES = (
+FILL_NOTES = (
     "",
     "TCP_HIT",
     "TCP_MISS",
@@ -31,7 +31,7 @@
     "FILL_FULL",
     "ROOT_FAIL",
 )
-NOTE_AT = {word: at for at, word in enumerate(NOTES)}
+NOTE_AT = {word: at for at, word in enumerate(FILL_NOTES)}
 MOST_LOAD = 1_000_000  # a figure above is no count of anything at one server
 MOST_ITEMS, MOST_BULK, MOST_LINE, MOST_ANSWER = 8, 240_000, 32, 256_000
 
@@ -112,7 +112,7 @@
     return encode_array(b"busy", tag.encode())
 
 
-def load_of(text: str) -> dict[str, float] | None:
+def parse_load(text: str) -> dict[str, float] | None:
     load = {}
     for pair in text.split(";"):
         name, _, value = pair.partition(":")
@@ -123,10 +123,10 @@
     return {name: value for name, value in load.items() if 0 <= value <= MOST_LOAD} or None
 
 
-def reply(items: list) -> Reply:
+def decode_reply(items: list) -> Reply:
     """`items` are bytes or views of them; the last one is passed on as it is."""
     try:
-        return reply_of(
+        return make_reply(
             str(items[0], "utf-8"),
             str(items[1], "utf-8"),
             str(items[2], "utf-8") if len(items) > 2 else "-",
@@ -143,8 +143,8 @@
     return "" if len(body) else next((pair[7:] for pair in text.split(",") if pair.startswith("entity=")), "")
 
 
-def reply_of(ident: str, word: str, text: str, body, count: int) -> Reply:
-    result = RESULTS.get(word)
+def make_reply(ident: str, word: str, text: str, body, count: int) -> Reply:
+    result = RESULT_BY_WORD.get(word)
     if result is None:
         raise BadReply("not an answer")
     if (word == "ACK" or word == "NOMOD") and count != 4:
@@ -161,7 +161,7 @@
             if waited < 0:
                 raise BadReply("delay: unreadable")
         elif pair.startswith("meter=") and len(pair) > 6:
-            load = load_of(pair[6:])
+            load = parse_load(pair[6:])
     return Reply(ident, result, current(text, body) if word == "NOMOD" else None, note, waited, load, body)
 
 
@@ -231,7 +231,7 @@
                             return
                         if window.buf[end] == 13 and window.buf[end + 1] == 10:
                             window.start, window.message_size = end + 2, 0
-                            yield reply_of(ident.decode(), word.decode(), text.decode(), window.view[found.end() : end], 4)
+                            yield make_reply(ident.decode(), word.decode(), text.decode(), window.view[found.end() : end], 4)
                             continue
                 found = self.line(42)
                 if found is None:
@@ -258,4 +258,4 @@
             base, size = window.start, self.at
             items, self.items, self.at = self.items, [], 0
             window.start, window.message_size = base + size, 0
-            yield reply([window.view[base + item.start : base + item.stop] for item in items])
+            yield decode_reply([window.view[base + item.start : base + item.stop] for item in items])
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -84,7 +84,13 @@
 @tries(deadline=None, derandomize=True)
 @given(
     st.lists(
-        st.tuples(HEXES, st.sampled_from(sorted(resp.RESULTS)), st.binary(max_size=400), st.sampled_from(resp.NOTES), st.integers(0, 4000)),
+        st.tuples(
+            HEXES,
+            st.sampled_from(sorted(resp.RESULT_BY_WORD)),
+            st.binary(max_size=400),
+            st.sampled_from(resp.FILL_NOTES),
+            st.integers(0, 4000),
+        ),
         max_size=5,
     ),
     st.lists(st.integers(0, 4000), max_size=8),
@@ -102,7 +108,7 @@
     decoder = resp.Decoder()
     replies = [(reply, bytes(reply.body)) for piece in cut(data, cuts) for reply in decoder.feed(piece)]
     assert [(r.ident, r.result, body, r.note) for r, body in replies] == [
-        (ident, resp.RESULTS[said], body, resp.NOTES.index(note)) for ident, said, body, note, _ in rows
+        (ident, resp.RESULT_BY_WORD[said], body, resp.FILL_NOTES.index(note)) for ident, said, body, note, _ in rows
     ]
     for (reply, _), row in zip(replies, rows):
         assert reply.waited == (row[4] * 1_000_000 if row[3] else None)
@@ -127,7 +133,7 @@
 
 
 def test_figures_of_a_load_report_that_count_nothing_are_left_out():
-    assert resp.load_of("inflight:1e300;util:0.5;hits:-1;x:nan") == {"util": 0.5}
+    assert resp.parse_load("inflight:1e300;util:0.5;hits:-1;x:nan") == {"util": 0.5}
 
 
 def test_a_want_names_only_what_it_means():
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -601,7 +601,7 @@
     client_writer = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.all_delivered(), dict(open_txns.by_id))))
     open_txns.add(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, client_writer, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
-    send.handle_reply(hop, resp.reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
+    send.handle_reply(hop, resp.decode_reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
     assert seen == [(False, {})] and answer_sender.all_delivered()
 
 
