--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -210,8 +210,8 @@
         if not self.claim_end(hop):
             return
         if hop.want is not None and reply.result == "completed":
-            unchanged = reply.current is not None
-            if unchanged and reply.current != hop.want.tag:
+            unchanged = reply.current_tag is not None
+            if unchanged and reply.current_tag != hop.want.tag:
                 log.warning("spoilt", extra={"kv": {"server": hop.server, "why": "calls a copy current that the client does not hold"}})
                 return self.report_end(hop, "error")
             answer = Answer("completed", 0, unchanged, reply.body)
--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -64,9 +64,9 @@
 class Reply:
     ident: str
     result: str
-    current: str | None  # the tag of the client's copy, where that is said to be the one
+    current_tag: str | None  # the tag of the client's copy, where that is said to be the one
     note: int
-    waited: int | None  # ns
+    queued_ns: int | None  # ns
     load: dict[str, float] | None
     body: memoryview | bytes  # of the connection's own buffer: good until it is read on
 
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -300,7 +300,7 @@
             took,
             final,
             reply.note if reply else 0,
-            min(reply.waited, took) if reply and reply.waited is not None else None,
+            min(reply.queued_ns, took) if reply and reply.queued_ns is not None else None,
             load,
         )
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -111,7 +111,7 @@
         (ident, resp.RESULT_BY_WORD[said], body, resp.FILL_NOTES.index(note)) for ident, said, body, note, _ in rows
     ]
     for (reply, _), row in zip(replies, rows):
-        assert reply.waited == (row[4] * 1_000_000 if row[3] else None)
+        assert reply.queued_ns == (row[4] * 1_000_000 if row[3] else None)
         assert reply.load == ({"inflight": 7.0, "util": 0.5} if row[3] else None)
 
 
