--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -185,7 +185,7 @@
         self.due = 0  # items of it still to come
         self.items: list[slice] = []  # where they lie, from its start
 
-    def within(self) -> bool:
+    def in_reply(self) -> bool:
         """Whether an answer has begun and not ended."""
         return len(self.window) > 0
 
@@ -206,9 +206,9 @@
     def feed(self, data: bytes):
         """Yields replies; raises BadReply where nothing more can be read."""
         for size in self.window.feed(data):
-            yield from self.filled(size)
+            yield from self.received(size)
 
-    def filled(self, size: int):
+    def received(self, size: int):
         """So many bytes came into the window's room. Yields replies, whose bodies lie in the window."""
         window = self.window
         window.end += size
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -435,7 +435,7 @@
             try:
                 return self.sock.recv_into(decoder.window.free_space())
             except BlockingIOError:
-                if decoder.within():
+                if decoder.in_reply():
                     raise resp.BadReply("an answer that stops short") from None
                 self.close_if_unused()
 
@@ -461,7 +461,7 @@
         self.last_received_at = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         pool.host.start_batch()
         try:
-            for reply in decoder.filled(size):
+            for reply in decoder.received(size):
                 with self.lock:
                     hop = self.open_hops.pop(reply.ident, None)
                     if hop is not None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -118,8 +118,8 @@
         size = min(len(room), reads[len(found) % len(reads)], len(data) - at)
         room[:size] = data[at : at + size]
         at += size
-        found += [(reply.ident, bytes(reply.body)) for reply in decoder.filled(size)]
-    assert found == [("%016x" % n, body) for n, body in enumerate(bodies)] and not decoder.within()
+        found += [(reply.ident, bytes(reply.body)) for reply in decoder.received(size)]
+    assert found == [("%016x" % n, body) for n, body in enumerate(bodies)] and not decoder.in_reply()
 
 
 def test_an_array_that_grows_beyond_any_answer_ends_the_reading():
@@ -484,9 +484,9 @@
     "def run():\n    while True:\n        self, about = line.get()\n        post(self, *about)\n"
     "def begin(self, old=RouterHost.run):\n    threading.Thread(target=run, daemon=True).start()\n    old(self)\n"
     "RouterHost.run = begin\n",
-    "peak_bytes": "from fieldspur.net.resp import Decoder\nfilled = Decoder.filled\n"
+    "peak_bytes": "from fieldspur.net.resp import Decoder\nfilled = Decoder.received\n"
     "def more(self, size):\n    held = bytearray(65536)\n    yield from filled(self, size)\n"
-    "Decoder.filled = more\n",
+    "Decoder.received = more\n",
 }
 
 
