--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -15,11 +15,11 @@
 
 log = logging.getLogger("fieldspur.board")
 STATES = {"up": "up", "draining": "draining", "removed": "gone"}
-SILENCE = 2.0  # seconds without a whole line; the board writes one each second
+SILENCE_LIMIT_S = 2.0  # seconds without a whole line; the board writes one each second
 WAIT_FIRST, WAIT_MOST = 0.05, 1.0  # seconds between connections
 MOST_LINE = 4 << 20
 SETTLE = 0.04  # seconds without more after events: what the board held has come, its last number may take a second yet
-WAIT_HEARD, LOOK_PAUSE = 0.25, 0.0005  # seconds that `caught_up` takes at most; between its looks
+CATCH_UP_LIMIT_S, LOOK_PAUSE = 0.25, 0.0005  # seconds that `caught_up` takes at most; between its looks
 
 
 @record(frozen=True)
@@ -122,7 +122,7 @@
 
     def behind(self) -> bool:
         """The board's word lies unread, or none came for so long that events may have passed this router by."""
-        if time.monotonic() - self.heard > SILENCE and self.excused != self.heard:
+        if time.monotonic() - self.heard > SILENCE_LIMIT_S and self.excused != self.heard:
             return True
         sock, poll = self.sock, select.poll()
         if sock is None or sock.fileno() < 0:
@@ -143,7 +143,7 @@
             if not behind:
                 return
             self.waited = max(self.waited, time.monotonic() - began)
-            if time.monotonic() - began > WAIT_HEARD:
+            if time.monotonic() - began > CATCH_UP_LIMIT_S:
                 self.excused = self.heard
                 return
             time.sleep(LOOK_PAUSE)
@@ -221,7 +221,7 @@
 
     def listen_to(self, sock: socket.socket) -> None:
         self.sock = sock
-        sock.settimeout(SILENCE / 2)
+        sock.settimeout(SILENCE_LIMIT_S / 2)
         sock.connect(self.where)
         if self.moved.is_set():
             return
@@ -230,7 +230,7 @@
         poll.register(sock, select.POLLIN)
         held, heard = b"", time.monotonic()
         while True:  # what lies there is read first, however long this process was stopped
-            left = max(0.0, heard + SILENCE - time.monotonic())
+            left = max(0.0, heard + SILENCE_LIMIT_S - time.monotonic())
             settles = self.heard == heard and not held and not self.current.is_set()
             if poll.poll((min(left, SETTLE) if settles else left) * 1000):
                 # All that lies there is told before this thread takes a turn in the Router and writes by half of it.
@@ -250,5 +250,5 @@
                     self.route.finish_batch()
             elif settles:
                 self.current.set()
-            if time.monotonic() - heard >= SILENCE:
+            if time.monotonic() - heard >= SILENCE_LIMIT_S:
                 raise TimeoutError("no whole line")
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -245,7 +245,7 @@
 def test_a_look_at_a_watch_that_ends_meanwhile_breaks_no_connection_to_a_server(monkeypatch):
     """It ends for its silence, without the lock of the look. The ValueError of a closed descriptor was taken for the end of the
     connection that was to be written to."""
-    monkeypatch.setattr(board_module, "SILENCE", 0.3)
+    monkeypatch.setattr(board_module, "SILENCE_LIMIT_S", 0.3)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         board = DiscoveryClient(listener.getsockname(), SimpleNamespace(start_batch=lambda: None, finish_batch=lambda: None), 1)
         threading.Thread(target=lambda: pytest.raises(TimeoutError, board.watch), daemon=True).start()
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -13,7 +13,7 @@
 
 from fieldspur.decide import MS
 from fieldspur.lab.soak import shim
-from fieldspur.net.discovery import SILENCE, WAIT_HEARD
+from fieldspur.net.discovery import CATCH_UP_LIMIT_S, SILENCE_LIMIT_S
 from fieldspur.net.invariants import contained_errors
 from fieldspur.net.server_connection import DISCOVERY_CHECK_INTERVAL, Hop, limit_unsent
 from fieldspur.record import replace
@@ -115,12 +115,12 @@
     service.board.reset()
     other.ask(1)
     assert other.get()[1:3] == (1, 79)  # the connection to the server stands, and nothing is repeated on it
-    time.sleep(SILENCE)  # from now on, a write waits a moment for discovery's word
+    time.sleep(SILENCE_LIMIT_S)  # from now on, a write waits a moment for discovery's word
     client = service.client()
     client.ask(2)
-    time.sleep(WAIT_HEARD / 2)
+    time.sleep(CATCH_UP_LIMIT_S / 2)
     client.send(67, 2)
-    time.sleep(WAIT_HEARD)
+    time.sleep(CATCH_UP_LIMIT_S)
     assert "%016x" % 2 not in [want["id"] for want in cache.wants]
 
 
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -11,7 +11,7 @@
 from helpers import Cache, Client, Notices, endpoint, until
 
 from fieldspur.bench.path import free_port
-from fieldspur.net.discovery import SILENCE
+from fieldspur.net.discovery import SILENCE_LIMIT_S
 
 HIT = ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"bytes")
 
@@ -79,15 +79,15 @@
 @pytest.mark.parametrize(
     "moods, most_s",
     [
-        (["silent"], SILENCE),
-        (["silent"] * 2, 2 * SILENCE),
-        (["half a line"], SILENCE),
+        (["silent"], SILENCE_LIMIT_S),
+        (["silent"] * 2, 2 * SILENCE_LIMIT_S),
+        (["half a line"], SILENCE_LIMIT_S),
         (["noise"], 0.0),
         (["numbers alone"], 0.0),
         (["the last line cut off"], 0.0),
         (["ends"] * 3, 0.0),
         (["ends unread"] * 3, 0.0),
-        (["ends", "silent", "numbers alone", "the last line cut off"], SILENCE),
+        (["ends", "silent", "numbers alone", "the last line cut off"], SILENCE_LIMIT_S),
     ],
 )
 def test_a_drain_told_to_a_watch_that_goes_wrong_takes_hold_once_the_next_one_is_heard(run, moods, most_s):
@@ -121,8 +121,8 @@
     ask_many(service.client(), 1)
     board.events.append(drain(caches))
     began = time.monotonic()
-    heeds(service, caches, limit=SILENCE + 2)
-    assert board.watched == [1, 1] and time.monotonic() - began < SILENCE + 3
+    heeds(service, caches, limit=SILENCE_LIMIT_S + 2)
+    assert board.watched == [1, 1] and time.monotonic() - began < SILENCE_LIMIT_S + 3
 
 
 def test_a_number_that_never_grows_is_no_word_of_what_comes_later(run):
@@ -130,7 +130,7 @@
     caches, board = [Cache(lambda want: HIT) for _ in range(2)], Moody("an old number")
     service = run(*caches, notices=board)
     ask_many(service.client(), 1)
-    time.sleep(SILENCE + 0.5)
+    time.sleep(SILENCE_LIMIT_S + 0.5)
     assert len(board.came) == 1 and "event=lost" not in service.lines()
     board.events.append(drain(caches))
     board.conns[0].sendall(json.dumps(board.events[0]).encode() + b"\n")
