--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -66,7 +66,7 @@
             self.enabled.set()
         elif not enabled and self.enabled.is_set():
             self.enabled.clear()
-            self.move(self.where, [])  # ends the connection
+            self.move(self.server_address, [])  # ends the connection
 
     def watch(self) -> None:
         self.enabled.wait()
@@ -78,7 +78,7 @@
         """Ends the connection and the thread of this reader."""
         self.removed = True
         self.enabled.set()
-        self.move(self.where, [])
+        self.move(self.server_address, [])
 
     def line(self, data: bytes) -> None:
         value = json.loads(data)
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -70,7 +70,7 @@
     """Reads the board and hands each event on once, in order."""
 
     def __init__(self, where: tuple[str, int], route, seed: int):
-        self.where, self.route, self.random = where, route, random.Random(seed)
+        self.server_address, self.route, self.random = where, route, random.Random(seed)
         self.known: list = []  # events that a new configuration brought
         self.moved = threading.Event()  # set while a move waits to be seen
         self.current = threading.Event()  # set once what the board held has come, and nothing of it is missing
@@ -173,7 +173,7 @@
 
     def move(self, where: tuple[str, int], known: list) -> None:
         """A new configuration: watch there from now on. Called by another thread, at any moment."""
-        self.where, self.known = where, known
+        self.server_address, self.known = where, known
         self.moved.set()
         sock = self.sock
         try:
@@ -222,7 +222,7 @@
     def listen_to(self, sock: socket.socket) -> None:
         self.sock = sock
         sock.settimeout(SILENCE_LIMIT_S / 2)
-        sock.connect(self.where)
+        sock.connect(self.server_address)
         if self.moved.is_set():
             return
         sock.sendall(b"watch %d\n" % self.last)
