--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -70,7 +70,7 @@
     """Reads the board and hands each event on once, in order."""
 
     def __init__(self, where: tuple[str, int], route, seed: int):
-        self.server_address, self.route, self.random = where, route, random.Random(seed)
+        self.server_address, self.subscriber, self.random = where, route, random.Random(seed)
         self.known: list = []  # events that a new configuration brought
         self.moved = threading.Event()  # set while a move waits to be seen
         self.current = threading.Event()  # set once what the board held has come, and nothing of it is missing
@@ -115,10 +115,10 @@
                     "kv": {"rev": self.last, "complete": int(told.complete), **{state: states.count(state) for state in STATES.values()}}
                 },
             )
-            self.route.list_received(told, now)
+            self.subscriber.list_received(told, now)
         elif told is not None:
             self.purges += 1
-            self.route.purge_received(told, now)
+            self.subscriber.purge_received(told, now)
 
     def behind(self) -> bool:
         """The board's word lies unread, or none came for so long that events may have passed this router by."""
@@ -209,7 +209,7 @@
         try:
             self.listen()
         finally:
-            self.route.finish_batch()  # what was told and is not yet handled
+            self.subscriber.finish_batch()  # what was told and is not yet handled
 
     def listen(self) -> None:
         sock = socket.socket()
@@ -234,7 +234,7 @@
             settles = self.heard == heard and not held and not self.current.is_set()
             if poll.poll((min(left, SETTLE) if settles else left) * 1000):
                 # All that lies there is told before this thread takes a turn in the Router and writes by half of it.
-                self.route.start_batch()
+                self.subscriber.start_batch()
                 with self.reading:
                     data = sock.recv(65_536)
                     if not data:
@@ -247,7 +247,7 @@
                             self.line(line)
                             self.heard = heard = time.monotonic()
                 if not poll.poll(0):
-                    self.route.finish_batch()
+                    self.subscriber.finish_batch()
             elif settles:
                 self.current.set()
             if time.monotonic() - heard >= SILENCE_LIMIT_S:
