--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -163,7 +163,7 @@
                     "peak_mb": logs.peak_memory_mb(),
                     "list_changes": self.board.list_changes,
                     "purges": self.board.purges,
-                    "rev": self.board.last,
+                    "rev": self.board.last_number,
                     "broken": sum(invariants.violation_counts.values()),
                     **self.reasons(),
                     **{f"shape_{kind}": n for kind, n in self.route.router.differs.items()},
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -83,7 +83,7 @@
     def line(self, data: bytes) -> None:
         value = json.loads(data)
         if isinstance(value, dict) and ("register" in value or "follower" in value):
-            self.last = value.get("rev") if type(value.get("rev")) is int else self.last
+            self.last_number = value.get("rev") if type(value.get("rev")) is int else self.last_number
             try:
                 self.transport.receive_line(self.number, value)
             except register_codec.BadLine as error:  # reading goes on: the member may be of another version or fleet
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -80,7 +80,7 @@
         self.heard = time.monotonic()  # when a whole line last came
         self.waited = 0.0  # the longest that a write waited for its word since the last look
         self.excused = 0.0  # that `heard` after which somebody waited in vain
-        self.last = 0
+        self.last_number = 0
         self.list_changes = self.purges = 0  # told so far
         self.rows: dict[str, dict] = {}  # the list as told, for a change may hold only what has changed
 
@@ -112,7 +112,11 @@
             log.info(
                 "list",
                 extra={
-                    "kv": {"rev": self.last, "complete": int(told.complete), **{state: states.count(state) for state in STATES.values()}}
+                    "kv": {
+                        "rev": self.last_number,
+                        "complete": int(told.complete),
+                        **{state: states.count(state) for state in STATES.values()},
+                    }
                 },
             )
             self.subscriber.list_received(told, now)
@@ -152,7 +156,7 @@
         """Apply the events of the start, before any thread runs."""
         for n, value in enumerate(known):
             self.tell(self.event(Part(value, f"known.notices[{n}]")), now=True)
-        self.last = last
+        self.last_number = last
 
     def line(self, data: bytes) -> None:
         value = json.loads(data)
@@ -160,15 +164,15 @@
         if not isinstance(number, int):
             raise BadSite("rev: missing")
         bare = not isinstance(value, dict) or len(value) == 1
-        if number > self.last + (not bare):
-            raise Gap(f"{self.last} is followed by {number}")
-        if not bare and number == self.last + 1:
+        if number > self.last_number + (not bare):
+            raise Gap(f"{self.last_number} is followed by {number}")
+        if not bare and number == self.last_number + 1:
             self.take(value)
-        elif bare and number <= self.last:
+        elif bare and number <= self.last_number:
             self.current.set()
 
     def take(self, value: dict) -> None:
-        self.last = value["rev"]  # whatever it holds, it is not asked for again
+        self.last_number = value["rev"]  # whatever it holds, it is not asked for again
         self.tell(self.event(Part(value, "event")))
 
     def move(self, where: tuple[str, int], known: list) -> None:
@@ -186,24 +190,24 @@
         self.thread = threading.get_ident()
         wait = WAIT_FIRST
         while True:
-            before = self.last
+            before = self.last_number
             if self.moved.is_set():
                 self.moved.clear()
                 wait = WAIT_FIRST
             try:
                 for value in self.known:
-                    if isinstance(value, dict) and value.get("rev") == self.last + 1:
+                    if isinstance(value, dict) and value.get("rev") == self.last_number + 1:
                         self.take(value)
                 self.watch()
                 why = "moved" if self.moved.is_set() else "closed"
             except (OSError, ValueError, RecursionError, BadSite, Gap) as wrong:
                 why = str(wrong) or type(wrong).__name__
-            wait = WAIT_FIRST if self.last > before else min(WAIT_MOST, 2 * wait)
+            wait = WAIT_FIRST if self.last_number > before else min(WAIT_MOST, 2 * wait)
             self.lost(why)
             self.moved.wait(wait * self.random.uniform(0.5, 1.0))
 
     def lost(self, why: str) -> None:
-        log.warning("lost", extra={"kv": {"why": why, "last": self.last}})
+        log.warning("lost", extra={"kv": {"why": why, "last": self.last_number}})
 
     def watch(self) -> None:
         try:
@@ -225,7 +229,7 @@
         sock.connect(self.server_address)
         if self.moved.is_set():
             return
-        sock.sendall(b"watch %d\n" % self.last)
+        sock.sendall(b"watch %d\n" % self.last_number)
         poll = select.poll()
         poll.register(sock, select.POLLIN)
         held, heard = b"", time.monotonic()
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -361,7 +361,7 @@
     send, route = route_to(cache)
     host, port = notices.address.split(":")
     board = send.discovery = DiscoveryClient((host, int(port)), route, 1)
-    board.last = 1
+    board.last_number = 1
     threading.Thread(target=board.run, daemon=True).start()
     until(board.current.is_set)
     with board.reading:  # held up, with the word in its socket
@@ -425,7 +425,7 @@
     send, route = route_to(cache)
     host, port = notices.address.split(":")
     board = send.discovery = DiscoveryClient((host, int(port)), route, 1)
-    board.last = 1
+    board.last_number = 1
     seen = []
     threading.Thread(target=board.run, daemon=True).start()
     until(board.current.is_set)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -626,7 +626,7 @@
         2,
     )
     first, second = (change.servers[0] for change in told)
-    assert (second.state, second.zone, second.address) == ("draining", first.zone, first.address) and board.last == 2
+    assert (second.state, second.zone, second.address) == ("draining", first.zone, first.address) and board.last_number == 2
 
 
 def test_bodies_that_no_memory_is_left_for_are_refused_at_once():
@@ -703,7 +703,7 @@
 def test_the_board_is_caught_up_only_once_it_says_a_last_number_that_the_router_has():
     """Found on herd+mass: restarted routers were ready on their file's list and named a draining parent 7 ms later."""
     board = DiscoveryClient(("127.0.0.1", 1), None, 1)
-    board.last = 5
+    board.last_number = 5
     with pytest.raises(Gap):
         board.line(b"7")  # events 6 and 7 are missing
     assert not board.current.is_set()
