--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -77,7 +77,7 @@
         self.sock: socket.socket | None = None  # the present connection
         self.reading = threading.Lock()  # held from a read until all it brought is told
         self.thread = 0  # that reads
-        self.heard = time.monotonic()  # when a whole line last came
+        self.last_line_at = time.monotonic()  # when a whole line last came
         self.waited = 0.0  # the longest that a write waited for its word since the last look
         self.excused = 0.0  # that `heard` after which somebody waited in vain
         self.last_number = 0
@@ -126,7 +126,7 @@
 
     def behind(self) -> bool:
         """The board's word lies unread, or none came for so long that events may have passed this router by."""
-        if time.monotonic() - self.heard > SILENCE_LIMIT_S and self.excused != self.heard:
+        if time.monotonic() - self.last_line_at > SILENCE_LIMIT_S and self.excused != self.last_line_at:
             return True
         sock, poll = self.sock, select.poll()
         if sock is None or sock.fileno() < 0:
@@ -148,7 +148,7 @@
                 return
             self.waited = max(self.waited, time.monotonic() - began)
             if time.monotonic() - began > CATCH_UP_LIMIT_S:
-                self.excused = self.heard
+                self.excused = self.last_line_at
                 return
             time.sleep(LOOK_PAUSE)
 
@@ -235,7 +235,7 @@
         held, heard = b"", time.monotonic()
         while True:  # what lies there is read first, however long this process was stopped
             left = max(0.0, heard + SILENCE_LIMIT_S - time.monotonic())
-            settles = self.heard == heard and not held and not self.current.is_set()
+            settles = self.last_line_at == heard and not held and not self.current.is_set()
             if poll.poll((min(left, SETTLE) if settles else left) * 1000):
                 # All that lies there is told before this thread takes a turn in the Router and writes by half of it.
                 self.subscriber.start_batch()
@@ -249,7 +249,7 @@
                     for line in lines:
                         if line.strip():
                             self.line(line)
-                            self.heard = heard = time.monotonic()
+                            self.last_line_at = heard = time.monotonic()
                 if not poll.poll(0):
                     self.subscriber.finish_batch()
             elif settles:
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -382,7 +382,7 @@
     cache = Cache(lambda w: None)
     send, route = route_to(cache)
     board = send.discovery = DiscoveryClient(("127.0.0.1", 1), route, 1)
-    board.heard -= 5
+    board.last_line_at -= 5
     began = time.monotonic()
     go(send, hop(1))
     until(lambda: cache.wants)
