--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -119,7 +119,7 @@
         began = time.monotonic()
         told = self.board.current.wait(wait)
         if not told:
-            self.board.excused = self.board.last_line_at
+            self.board.excused_line_at = self.board.last_line_at
         if self.talk is not None and not self.talk.state_known.wait(max(0.0, wait - (time.monotonic() - began))):
             log.warning("fleet_unheard", extra={"kv": {"why": "no member told what is out for work; the board's list stands"}})
         self.route.post(self.route.open_gate, "current" if told else "no word of the board")
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -79,7 +79,7 @@
         self.thread = 0  # that reads
         self.last_line_at = time.monotonic()  # when a whole line last came
         self.waited = 0.0  # the longest that a write waited for its word since the last look
-        self.excused = 0.0  # that `heard` after which somebody waited in vain
+        self.excused_line_at = 0.0  # that `heard` after which somebody waited in vain
         self.last_number = 0
         self.list_changes = self.purges = 0  # told so far
         self.rows: dict[str, dict] = {}  # the list as told, for a change may hold only what has changed
@@ -126,7 +126,7 @@
 
     def behind(self) -> bool:
         """The board's word lies unread, or none came for so long that events may have passed this router by."""
-        if time.monotonic() - self.last_line_at > SILENCE_LIMIT_S and self.excused != self.last_line_at:
+        if time.monotonic() - self.last_line_at > SILENCE_LIMIT_S and self.excused_line_at != self.last_line_at:
             return True
         sock, poll = self.sock, select.poll()
         if sock is None or sock.fileno() < 0:
@@ -148,7 +148,7 @@
                 return
             self.waited = max(self.waited, time.monotonic() - began)
             if time.monotonic() - began > CATCH_UP_LIMIT_S:
-                self.excused = self.last_line_at
+                self.excused_line_at = self.last_line_at
                 return
             time.sleep(LOOK_PAUSE)
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -252,7 +252,7 @@
         there, real = listener.accept()[0], until(lambda: board.sock)
         assert there.recv(100) == b"watch 0\n"
 
-        board.excused = board.last_line_at
+        board.excused_line_at = board.last_line_at
         board.sock = look = Closing(real, lambda: until(lambda: real.fileno() < 0, limit=2), wait=0.6)
         with board.reading:
             assert board.behind() is False
