--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -143,7 +143,7 @@
     def counts(self, event: str) -> None:
         pause, self.pause = self.pause, 0.0
         lag, self.route.max_lag = self.route.max_lag, 0
-        waited, self.board.waited = self.board.waited, 0.0
+        waited, self.board.longest_wait = self.board.longest_wait, 0.0
         log.info(
             event,
             extra={
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -78,7 +78,7 @@
         self.reading = threading.Lock()  # held from a read until all it brought is told
         self.thread = 0  # that reads
         self.last_line_at = time.monotonic()  # when a whole line last came
-        self.waited = 0.0  # the longest that a write waited for its word since the last look
+        self.longest_wait = 0.0  # the longest that a write waited for its word since the last look
         self.excused_line_at = 0.0  # that `heard` after which somebody waited in vain
         self.last_number = 0
         self.list_changes = self.purges = 0  # told so far
@@ -146,7 +146,7 @@
                 behind = self.behind()
             if not behind:
                 return
-            self.waited = max(self.waited, time.monotonic() - began)
+            self.longest_wait = max(self.longest_wait, time.monotonic() - began)
             if time.monotonic() - began > CATCH_UP_LIMIT_S:
                 self.excused_line_at = self.last_line_at
                 return
