--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -117,7 +117,7 @@
         """Once the board has told what it holds, or has said nothing for `wait` seconds, the gate opens. A thread of its own, for a
         signal may come meanwhile: an end that began first leaves the router not ready, and files are read again at once."""
         began = time.monotonic()
-        told = self.board.current.wait(wait)
+        told = self.board.caught_up.wait(wait)
         if not told:
             self.board.excused_line_at = self.board.last_line_at
         if self.talk is not None and not self.talk.state_known.wait(max(0.0, wait - (time.monotonic() - began))):
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -73,7 +73,7 @@
         self.server_address, self.subscriber, self.random = where, route, random.Random(seed)
         self.known: list = []  # events that a new configuration brought
         self.moved = threading.Event()  # set while a move waits to be seen
-        self.current = threading.Event()  # set once what the board held has come, and nothing of it is missing
+        self.caught_up = threading.Event()  # set once what the board held has come, and nothing of it is missing
         self.sock: socket.socket | None = None  # the present connection
         self.reading = threading.Lock()  # held from a read until all it brought is told
         self.thread = 0  # that reads
@@ -169,7 +169,7 @@
         if not bare and number == self.last_number + 1:
             self.take(value)
         elif bare and number <= self.last_number:
-            self.current.set()
+            self.caught_up.set()
 
     def take(self, value: dict) -> None:
         self.last_number = value["rev"]  # whatever it holds, it is not asked for again
@@ -235,7 +235,7 @@
         held, heard = b"", time.monotonic()
         while True:  # what lies there is read first, however long this process was stopped
             left = max(0.0, heard + SILENCE_LIMIT_S - time.monotonic())
-            settles = self.last_line_at == heard and not held and not self.current.is_set()
+            settles = self.last_line_at == heard and not held and not self.caught_up.is_set()
             if poll.poll((min(left, SETTLE) if settles else left) * 1000):
                 # All that lies there is told before this thread takes a turn in the Router and writes by half of it.
                 self.subscriber.start_batch()
@@ -253,6 +253,6 @@
                 if not poll.poll(0):
                     self.subscriber.finish_batch()
             elif settles:
-                self.current.set()
+                self.caught_up.set()
             if time.monotonic() - heard >= SILENCE_LIMIT_S:
                 raise TimeoutError("no whole line")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -706,9 +706,9 @@
     board.last_number = 5
     with pytest.raises(Gap):
         board.line(b"7")  # events 6 and 7 are missing
-    assert not board.current.is_set()
+    assert not board.caught_up.is_set()
     board.line(b"5")
-    assert board.current.is_set()
+    assert board.caught_up.is_set()
 
 
 def test_a_connection_that_was_idle_is_not_closed_over_a_request_that_lies_unread():
