--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -75,7 +75,7 @@
         self.moved = threading.Event()  # set while a move waits to be seen
         self.caught_up = threading.Event()  # set once what the board held has come, and nothing of it is missing
         self.sock: socket.socket | None = None  # the present connection
-        self.reading = threading.Lock()  # held from a read until all it brought is told
+        self.read_lock = threading.Lock()  # held from a read until all it brought is told
         self.thread = 0  # that reads
         self.last_line_at = time.monotonic()  # when a whole line last came
         self.longest_wait = 0.0  # the longest that a write waited for its word since the last look
@@ -142,7 +142,7 @@
             return
         began = time.monotonic()
         while True:
-            with self.reading:
+            with self.read_lock:
                 behind = self.behind()
             if not behind:
                 return
@@ -220,7 +220,7 @@
         try:
             self.listen_to(sock)
         finally:
-            with self.reading:  # else who looks at it meets a descriptor that is closed meanwhile
+            with self.read_lock:  # else who looks at it meets a descriptor that is closed meanwhile
                 sock.close()
 
     def listen_to(self, sock: socket.socket) -> None:
@@ -239,7 +239,7 @@
             if poll.poll((min(left, SETTLE) if settles else left) * 1000):
                 # All that lies there is told before this thread takes a turn in the Router and writes by half of it.
                 self.subscriber.start_batch()
-                with self.reading:
+                with self.read_lock:
                     data = sock.recv(65_536)
                     if not data:
                         return
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -364,7 +364,7 @@
     board.last_number = 1
     threading.Thread(target=board.run, daemon=True).start()
     until(board.caught_up.is_set)
-    with board.reading:  # held up, with the word in its socket
+    with board.read_lock:  # held up, with the word in its socket
         notices.tell(2, pool={"endpoints": [endpoint("c0", cache.address, status="draining")]})
         until(lambda: notices.sent)
         time.sleep(0.06)
@@ -429,7 +429,7 @@
     seen = []
     threading.Thread(target=board.run, daemon=True).start()
     until(board.caught_up.is_set)
-    with board.reading:
+    with board.read_lock:
         notices.tell(2, pool={"endpoints": [endpoint("c1", cache.address)]})
         notices.tell(3, flush={"collection": 7, "ms": time.time_ns() // MS})
         until(lambda: notices.sent == [2, 3])
