--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -124,7 +124,7 @@
             self.purges += 1
             self.subscriber.purge_received(told, now)
 
-    def behind(self) -> bool:
+    def may_be_behind(self) -> bool:
         """The board's word lies unread, or none came for so long that events may have passed this router by."""
         if time.monotonic() - self.last_line_at > SILENCE_LIMIT_S and self.excused_line_at != self.last_line_at:
             return True
@@ -143,7 +143,7 @@
         began = time.monotonic()
         while True:
             with self.read_lock:
-                behind = self.behind()
+                behind = self.may_be_behind()
             if not behind:
                 return
             self.longest_wait = max(self.longest_wait, time.monotonic() - began)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -255,7 +255,7 @@
         board.excused_line_at = board.last_line_at
         board.sock = look = Closing(real, lambda: until(lambda: real.fileno() < 0, limit=2), wait=0.6)
         with board.read_lock:
-            assert board.behind() is False
+            assert board.may_be_behind() is False
         look.ending.join()
 
 
