--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -128,7 +128,7 @@
     def wait_for_discovery(self) -> None:
         """Waits, a moment at most, for what discovery has sent and is not told yet."""
         if self.discovery is not None:
-            self.discovery.caught_up()
+            self.discovery.wait_until_caught_up()
             self.discovery_checked_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
 
     def start_attempt(self, hop: Hop) -> bool:
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -134,7 +134,7 @@
         poll.register(sock, select.POLLIN)
         return any(event & select.POLLIN for _, event in poll.poll(0))  # not of a connection that does not stand
 
-    def caught_up(self) -> None:
+    def wait_until_caught_up(self) -> None:
         """Waits, a moment at most, until what the board has sent is told. Guards against a hop written on an old list
         by a process that was stopped, or whose other threads had the core, between the board's word and the write. A
         board that says nothing for longer is not waited for again until it is heard: the router goes on as it is."""
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -97,7 +97,7 @@
         client_writer = send.open_txns.by_id[attempt.ident].client_writer
         monkeypatch.setattr(client_writer, "check_client", slow_look(client_writer.check_client, order))
         lane = send.enqueue(attempt)
-    send.discovery_checked_at, send.discovery = 0, SimpleNamespace(caught_up=lambda: order.append("waits"))
+    send.discovery_checked_at, send.discovery = 0, SimpleNamespace(wait_until_caught_up=lambda: order.append("waits"))
     dialled.set()
     until(lambda: len(cache.wants) == 2)
     assert order == ["waits", 5, 6] and lane.connected
