--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -68,7 +68,7 @@
 
             overlay = ServerListOverlay(self.route)
         self.board = self.send.discovery = DiscoveryClient(node.board, overlay or self.route, node.seed)
-        self.board.begin(node.known, node.known_to)
+        self.board.apply_initial_events(node.known, node.known_to)
         self.client_listener = ClientListener(
             node.listen,
             node.sockets // 2,
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -152,7 +152,7 @@
                 return
             time.sleep(LOOK_PAUSE)
 
-    def begin(self, known: list, last: int) -> None:
+    def apply_initial_events(self, known: list, last: int) -> None:
         """Apply the events of the start, before any thread runs."""
         for n, value in enumerate(known):
             self.tell(self.event(Part(value, f"known.notices[{n}]")), now=True)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -618,7 +618,7 @@
     told = []
     board = DiscoveryClient(("127.0.0.1", 1), SimpleNamespace(list_received=lambda change, now: told.append(change)), 1)
     whole = endpoint("c0", "127.0.0.1:5")
-    board.begin(
+    board.apply_initial_events(
         [
             {"rev": 1, "pool": {"snapshot": True, "endpoints": [whole]}},
             {"rev": 2, "pool": {"endpoints": [{"status": "up"}, {"name": "c1", "status": "odd"}, {"name": "c0", "status": "draining"}]}},
