--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -80,7 +80,7 @@
         self.enabled.set()
         self.move(self.server_address, [])
 
-    def line(self, data: bytes) -> None:
+    def handle_line(self, data: bytes) -> None:
         value = json.loads(data)
         if isinstance(value, dict) and ("register" in value or "follower" in value):
             self.last_number = value.get("rev") if type(value.get("rev")) is int else self.last_number
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -158,7 +158,7 @@
             self.tell(self.event(Part(value, f"known.notices[{n}]")), now=True)
         self.last_number = last
 
-    def line(self, data: bytes) -> None:
+    def handle_line(self, data: bytes) -> None:
         value = json.loads(data)
         number = value.get("rev") if isinstance(value, dict) else value
         if not isinstance(number, int):
@@ -248,7 +248,7 @@
                         raise ValueError("a line too long")
                     for line in lines:
                         if line.strip():
-                            self.line(line)
+                            self.handle_line(line)
                             self.last_line_at = heard = time.monotonic()
                 if not poll.poll(0):
                     self.subscriber.finish_batch()
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -705,9 +705,9 @@
     board = DiscoveryClient(("127.0.0.1", 1), None, 1)
     board.last_number = 5
     with pytest.raises(Gap):
-        board.line(b"7")  # events 6 and 7 are missing
+        board.handle_line(b"7")  # events 6 and 7 are missing
     assert not board.caught_up.is_set()
-    board.line(b"5")
+    board.handle_line(b"5")
     assert board.caught_up.is_set()
 
 
