--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -187,7 +187,7 @@
             node, wishes = files_of(os.environ)
         except (BadSite, BadFile) as bad:
             return log.error("kept", extra={"kv": {"why": str(bad)}})
-        self.board.move(node.board, node.known)
+        self.board.change_address(node.board, node.known)
         kept = differences(self.node, node)
         kept += [key for key in ("memory", "interpreter", "start") if getattr(wishes, key) != getattr(self.wishes, key)]
         first = wishes.fleet.first
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -66,7 +66,7 @@
             self.enabled.set()
         elif not enabled and self.enabled.is_set():
             self.enabled.clear()
-            self.move(self.server_address, [])  # ends the connection
+            self.change_address(self.server_address, [])  # ends the connection
 
     def watch(self) -> None:
         self.enabled.wait()
@@ -78,7 +78,7 @@
         """Ends the connection and the thread of this reader."""
         self.removed = True
         self.enabled.set()
-        self.move(self.server_address, [])
+        self.change_address(self.server_address, [])
 
     def handle_line(self, data: bytes) -> None:
         value = json.loads(data)
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -72,7 +72,7 @@
     def __init__(self, where: tuple[str, int], route, seed: int):
         self.server_address, self.subscriber, self.random = where, route, random.Random(seed)
         self.known: list = []  # events that a new configuration brought
-        self.moved = threading.Event()  # set while a move waits to be seen
+        self.address_changed = threading.Event()  # set while a move waits to be seen
         self.caught_up = threading.Event()  # set once what the board held has come, and nothing of it is missing
         self.sock: socket.socket | None = None  # the present connection
         self.read_lock = threading.Lock()  # held from a read until all it brought is told
@@ -175,10 +175,10 @@
         self.last_number = value["rev"]  # whatever it holds, it is not asked for again
         self.tell(self.event(Part(value, "event")))
 
-    def move(self, where: tuple[str, int], known: list) -> None:
+    def change_address(self, where: tuple[str, int], known: list) -> None:
         """A new configuration: watch there from now on. Called by another thread, at any moment."""
         self.server_address, self.known = where, known
-        self.moved.set()
+        self.address_changed.set()
         sock = self.sock
         try:
             if sock is not None:
@@ -191,20 +191,20 @@
         wait = WAIT_FIRST
         while True:
             before = self.last_number
-            if self.moved.is_set():
-                self.moved.clear()
+            if self.address_changed.is_set():
+                self.address_changed.clear()
                 wait = WAIT_FIRST
             try:
                 for value in self.known:
                     if isinstance(value, dict) and value.get("rev") == self.last_number + 1:
                         self.take(value)
                 self.watch()
-                why = "moved" if self.moved.is_set() else "closed"
+                why = "moved" if self.address_changed.is_set() else "closed"
             except (OSError, ValueError, RecursionError, BadSite, Gap) as wrong:
                 why = str(wrong) or type(wrong).__name__
             wait = WAIT_FIRST if self.last_number > before else min(WAIT_MOST, 2 * wait)
             self.lost(why)
-            self.moved.wait(wait * self.random.uniform(0.5, 1.0))
+            self.address_changed.wait(wait * self.random.uniform(0.5, 1.0))
 
     def lost(self, why: str) -> None:
         log.warning("lost", extra={"kv": {"why": why, "last": self.last_number}})
@@ -227,7 +227,7 @@
         self.sock = sock
         sock.settimeout(SILENCE_LIMIT_S / 2)
         sock.connect(self.server_address)
-        if self.moved.is_set():
+        if self.address_changed.is_set():
             return
         sock.sendall(b"watch %d\n" % self.last_number)
         poll = select.poll()
