--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -57,7 +57,7 @@
     def finish_batch(self) -> None:
         pass
 
-    def lost(self, reason: str) -> None:
+    def log_lost(self, reason: str) -> None:
         log.warning("lost", extra={"kv": {"member": self.name, "why": reason}})
 
     def set_enabled(self, enabled: bool) -> None:
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -203,10 +203,10 @@
             except (OSError, ValueError, RecursionError, BadSite, Gap) as wrong:
                 why = str(wrong) or type(wrong).__name__
             wait = WAIT_FIRST if self.last_number > before else min(WAIT_MOST, 2 * wait)
-            self.lost(why)
+            self.log_lost(why)
             self.address_changed.wait(wait * self.random.uniform(0.5, 1.0))
 
-    def lost(self, why: str) -> None:
+    def log_lost(self, why: str) -> None:
         log.warning("lost", extra={"kv": {"why": why, "last": self.last_number}})
 
     def watch(self) -> None:
