--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -113,7 +113,7 @@
                 self.client_listener.route.start_batch()
                 try:
                     for value in decoder.decode_received(size):
-                        self.finish_batch(
+                        self.handle(
                             value,
                             arrivals.latest
                             if arrivals.late_since == NEVER
@@ -169,7 +169,7 @@
         self.client_writer.write(frames.encode_unreadable())
         self.client_writer.close_when_done()
 
-    def finish_batch(self, value, received_at: int) -> None:
+    def handle(self, value, received_at: int) -> None:
         """Handles one decoded frame. An unexpected error costs this connection: the request at hand is answered, nothing further is
         read, and the other owed answers are still sent."""
         try:
