--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -19,7 +19,7 @@
     `members` is the number of voting members, `length` the length of a lease in ns, and `kept` the stored document that this router
     went by when its last process ended."""
 
-    fenced = False  # a later process of the same name does not stop a follower
+    fenced = False  # only a voting member is fenced, by a later process of its name
 
     def __init__(
         self,
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Members put together in simulated time, and what routers do by what they know: no sockets, no threads."""
+"""Members of a fleet, and routers that follow its work orders, in simulated time: no sockets, no threads."""
 
 import json
 import random
@@ -8,128 +8,140 @@
 from fieldspur.fleet.follower import Follower
 from fieldspur.fleet.member import Member
 
-MS, SECOND = 1_000_000, 1_000_000_000
-LENGTH = 1500 * MS
-LONGEST, WARM, GRACE = 2 * SECOND, 2 * SECOND, 250 * MS
+MS = 1_000_000
+SECOND = 1_000_000_000
+LENGTH = 1500 * MS  # of a lease
+LONGEST = 2 * SECOND  # time limit of a txn
+WARM_UP = 2 * SECOND  # slow start of a machine
+GRACE = 250 * MS  # after a machine is out, in which routers may still use it
 
 
-class Entries:
-    """In place of a coordinator: the agreed value is a list that each member's wants are added to."""
+class EntryCoordinator:
+    """Takes the place of a `Coordinator`: the agreed value is a list to which the pending entries of all members are appended."""
 
     def __init__(self):
-        self.wants, self.others = [], {}
+        self.pending, self.pending_of_others = [], {}
 
     names = [f"r{n}" for n in range(16)]
 
-    def receive_line(self, value, name, nonce, own, agreed):
-        self.others[name] = [tuple(one) for one in value["wants"]]
+    def receive_line(self, value, name, nonce, own_nonce, agreed):
+        self.pending_of_others[name] = [tuple(entry) for entry in value["wants"]]
 
     def update_document(self, value):
-        self.wants = [one for one in self.wants if one not in (value or ())]
+        self.pending = [entry for entry in self.pending if entry not in (value or ())]
 
-    def tick(self, *about):
+    def tick(self, *args):
         pass
 
     def next_value(self, value, now):
         value = value or ()
-        more = [one for wants in (*self.others.values(), self.wants) for one in wants if one not in value]
-        return (*value, *more) if more else None
+        new_entries = [entry for pending in (*self.pending_of_others.values(), self.pending) for entry in pending if entry not in value]
+        return (*value, *new_entries) if new_entries else None
 
     def line(self):
-        return {"wants": [list(one) for one in self.wants]}
+        return {"wants": [list(entry) for entry in self.pending]}
 
 
-class World:
-    """Members in simulated time: lines on their way, pairs cut one way, members stopped, killed and back."""
+class SimulatedMembers:
+    """Members in simulated time. Lines may be lost; single directions between two members can be cut; members can be stopped (as by
+    SIGSTOP), killed and started again without memory."""
 
-    def __init__(self, members, seed, step=50, followers=0):
-        self.step, self.settle = step, members - followers  # the first so many settle, the others follow
+    def __init__(self, members, seed, step_ms=50, followers=0):
+        self.step_ms, self.voters = step_ms, members - followers  # the first members vote, the others follow
         self.random, self.now, self.members = random.Random(seed), 0, members
-        self.nodes = [self.new(n) for n in range(members)]
-        self.cut, self.stopped, self.down = set(), set(), set()
-        self.told = [None] * members
-        self.most_acting, self.decided = 0, ()
-        self.acted = []
+        self.nodes = [self.new_member(n) for n in range(members)]
+        self.cut, self.stopped, self.down = set(), set(), set()  # pairs (from, to); members; members
+        self.lines = [None] * members
+        self.max_coordinators, self.decided = 0, ()  # most coordinators at one moment; the longest agreed value
+        self.coordinator_history = []
 
-    def new(self, n):
+    def new_member(self, n):
         nonce = self.random.randrange(1, 1 << 40)
-        if n >= self.settle:
-            return Follower("valley", f"r{n}", nonce, self.settle, self.now, LENGTH, self.coordinator(n))
+        if n >= self.voters:
+            return Follower("valley", f"r{n}", nonce, self.voters, self.now, LENGTH, self.new_coordinator(n))
         return Member(
-            "valley", consensus.blank_register(n, self.settle, nonce), self.settle, self.now, LENGTH, nonce, True, self.coordinator(n)
+            "valley", consensus.blank_register(n, self.voters, nonce), self.voters, self.now, LENGTH, nonce, True, self.new_coordinator(n)
         )
 
-    def coordinator(self, n):
-        return Entries()
+    def new_coordinator(self, n):
+        return EntryCoordinator()
 
     def run(self, ms):
-        for _ in range(0, ms, self.step):
-            self.now += self.step * MS
-            order = [n for n in range(self.members) if n not in self.stopped | self.down]
-            self.random.shuffle(order)
-            for n in order:
-                for m in order:
+        for _ in range(0, ms, self.step_ms):
+            self.now += self.step_ms * MS
+            running = [n for n in range(self.members) if n not in self.stopped | self.down]
+            self.random.shuffle(running)
+            for n in running:
+                for m in running:
                     if m != n and (m, n) not in self.cut and self.random.random() < 0.8:
-                        self.read(n, m)
+                        self.deliver_line(n, m)
                 self.nodes[n].tick(self.now)
-            acting = [n for n in range(self.members) if n not in self.down and self.nodes[n].is_coordinator(self.now)]
-            self.most_acting = max(self.most_acting, len(acting))
-            self.acted += [n for n in acting if not self.acted or self.acted[-1] != n]
-            for node in self.nodes[: self.settle]:
-                self.compare(node.agreed_value() or ())
-
-    def read(self, n, m):
+            coordinators = [n for n in range(self.members) if n not in self.down and self.nodes[n].is_coordinator(self.now)]
+            self.max_coordinators = max(self.max_coordinators, len(coordinators))
+            self.coordinator_history += [n for n in coordinators if not self.coordinator_history or self.coordinator_history[-1] != n]
+            for node in self.nodes[: self.voters]:
+                self.check_agreed(node.agreed_value() or ())
+
+    def deliver_line(self, n, m):
+        """Member n reads the line of member m."""
         line = json.loads(json.dumps(self.nodes[m].line()))
-        if m < self.settle:
+        if m < self.voters:
             self.nodes[n].receive_line(m, line, self.now)
-        elif n < self.settle:
+        elif n < self.voters:
             self.nodes[n].receive_follower_line(f"r{m}", line, self.now)
 
-    def compare(self, agreed):
+    def check_agreed(self, agreed):
+        """All agreed values are prefixes of the longest one."""
         assert agreed[: len(self.decided)] == self.decided[: len(agreed)]
         self.decided = max(self.decided, agreed, key=len)
 
-    def want(self, n, body):
-        self.nodes[n].coordinator.wants.append((f"{n}.{self.now}", body))
+    def request_entry(self, n, body):
+        self.nodes[n].coordinator.pending.append((f"{n}.{self.now}", body))
 
     def begin(self):
+        """Founds the fleet and waits until all voting members take part."""
         self.run(500)
         self.nodes[0].found_fleet()
         self.run(5000)
-        assert all(node.register.life for node in self.nodes[: self.settle]) and self.acted
+        assert all(node.register.life for node in self.nodes[: self.voters]) and self.coordinator_history
 
     def kill(self, n):
         self.down.add(n)
 
     def start(self, n):
         self.down.discard(n)
-        self.nodes[n] = self.new(n)
+        self.nodes[n] = self.new_member(n)
+
 
+class SimulatedFleet(SimulatedMembers):
+    """Simulated members whose routers use machines by the work document. A hop may last as long as the time limit of a txn.
 
-class SimulatedFleet(World):
-    """Routers that use machines by what they know, and may see hops of theirs last as long as a txn may. Each step holds them to
-    what is promised: nothing new to a machine 250 ms after it was out, no `free` with anything open, the bounds, one order."""
+    Each step checks what a fleet guarantees, and appends failures to `violations`: no new hop to a machine 250 ms after it is out, no
+    `free` while anything is open at the machine, the bounds, and one document for each number."""
 
     def __init__(
-        self, members, seed, machines=6, bounds=planner.Bounds(zone=0.5, all=0.5, both=1.0), strict=False, planted=None, followers=0
+        self, members, seed, machines=6, bounds=planner.Bounds(zone=0.5, all=0.5, both=1.0), strict=False, fault=None, followers=0
     ):
-        self.bounds, self.strict, self.planted = bounds, strict, planted or (lambda coordinator: None)
+        self.bounds, self.strict, self.inject_fault = bounds, strict, fault or (lambda coordinator: None)
         self.listings = {f"c{m}": work_orders.Listing("up", 0, f"h:{m}", "east", "cache", 10.0) for m in range(machines)}
-        self.wished = {n: [] for n in range(members)}
-        self.hops = {n: [] for n in range(members)}  # (machine, began, ends)
-        self.numbers, self.outs, self.frees, self.most_out = {}, {}, [], 0
-        self.wrong, self.restarts, self.skew = [], [], {}  # skew: ms by which a router's Unix clock is off
+        self.requests = {n: [] for n in range(members)}
+        self.hops = {n: [] for n in range(members)}  # (machine, begin, end)
+        # By number: the document and when it was first known; by machine: when it went out; machines that became free, in order.
+        self.documents, self.out_since, self.freed, self.max_away = {}, {}, [], 0
+        self.violations, self.restarts, self.clock_skew_ms = [], [], {}  # skew of a router's Unix clock
         super().__init__(members, seed, followers=followers)
 
-    def coordinator(self, n):
-        made = Coordinator([f"r{m}" for m in range(self.settle)], f"r{n}", "east", LENGTH, self.bounds, self.strict, LONGEST, WARM)
-        made.requests = self.wished[n]
-        self.planted(made)
-        return made
+    def new_coordinator(self, n):
+        coordinator = Coordinator(
+            [f"r{m}" for m in range(self.voters)], f"r{n}", "east", LENGTH, self.bounds, self.strict, LONGEST, WARM_UP
+        )
+        coordinator.requests = self.requests[n]
+        self.inject_fault(coordinator)
+        return coordinator
 
-    def ask(self, n, machine, **more):
-        wish = work_orders.WorkRequest(more.pop("ident", f"w-{machine}"), machine, more.pop("needs", 1.0))._replace(**more)
-        self.wished[n][:] = [one for one in self.wished[n] if one.ident != wish.ident] + [wish]
+    def request_work(self, n, machine, **fields):
+        request = work_orders.WorkRequest(fields.pop("ident", f"w-{machine}"), machine, fields.pop("needs", 1.0))._replace(**fields)
+        self.requests[n][:] = [other for other in self.requests[n] if other.ident != request.ident] + [request]
 
     def start(self, n):
         self.hops[n] = []
@@ -139,104 +151,105 @@
         self.hops[n] = []  # its connections end with it
         super().kill(n)
 
-    def use(self, n):
-        """One router's turn: what it reports, and hops to what it may use."""
+    def run_router(self, n):
+        """One step of a router: it reports its loads, and starts hops to machines that it may use."""
         node, now = self.nodes[n], self.now
         coordinator = node.coordinator
-        coordinator.unix_ms, coordinator.listings = now // MS + self.skew.get(n, 0), self.listings
+        coordinator.unix_ms, coordinator.listings = now // MS + self.clock_skew_ms.get(n, 0), self.listings
         self.hops[n] = [hop for hop in self.hops[n] if hop[2] > now]
-        off = coordinator.withdrawn(now)
+        withdrawn = coordinator.withdrawn(now)
         coordinator.fresh_loads = True
-        coordinator.loads = {m: [10.0, 3.0 / self.members, 5.0, 2 if self.cold(coordinator, m, now) else 0] for m in self.listings}
-        if not coordinator.list_unknown(now) if self.strict else node.is_up_to_date():  # at its start a router waits until it knows
+        coordinator.loads = {m: [10.0, 3.0 / self.members, 5.0, 2 if self.in_slow_start(coordinator, m, now) else 0] for m in self.listings}
+        # A router serves only once its knowledge is up to date after a start.
+        if not coordinator.list_unknown(now) if self.strict else node.is_up_to_date():
             for machine in self.listings:
-                if machine not in off and self.random.random() < 0.3:
-                    self.hop(n, machine)
+                if machine not in withdrawn and self.random.random() < 0.3:
+                    self.start_hop(n, machine)
         coordinator.mark_applied(
             coordinator.document.number, {m: sum(hop[0] == m for hop in self.hops[n]) for m in coordinator.announced()}
         )
 
-    def cold(self, coordinator, machine, now):
+    def in_slow_start(self, coordinator, machine, now):
         return any(
-            one.machine == machine
-            and one.state == work_orders.BACK
-            and one.at not in self.numbers
-            or one.machine == machine
-            and one.state == work_orders.BACK
-            and now - self.numbers[one.at][1] < WARM
-            for one in coordinator.document.orders
+            order.machine == machine
+            and order.state == work_orders.BACK
+            and order.at not in self.documents
+            or order.machine == machine
+            and order.state == work_orders.BACK
+            and now - self.documents[order.at][1] < WARM_UP
+            for order in coordinator.document.orders
         )
 
-    def hop(self, n, machine):
+    def start_hop(self, n, machine):
         now = self.now
-        out = self.outs.get(machine)
-        if out is not None and now > out + GRACE:
-            self.wrong.append(f"r{n} used {machine} {(now - out) // MS} ms after it was out")
+        out_since = self.out_since.get(machine)
+        if out_since is not None and now > out_since + GRACE:
+            self.violations.append(f"r{n} used {machine} {(now - out_since) // MS} ms after it was out")
         self.hops[n].append((machine, now, now + int(self.random.random() ** 4 * LONGEST)))
 
     def run(self, ms):
-        for _ in range(0, ms, self.step):
+        for _ in range(0, ms, self.step_ms):
             for n in range(self.members):
                 if n not in self.stopped | self.down:
-                    self.use(n)
-            super().run(self.step)
-            self.judge()
-            self.work_done()
+                    self.run_router(n)
+            super().run(self.step_ms)
+            self.check_documents()
+            self.restart_machines()
 
-    def compare(self, agreed):
-        pass  # `judge` does
+    def check_agreed(self, agreed):
+        pass  # `check_documents` does
 
-    def judge(self):
+    def check_documents(self):
         for node in self.nodes:
-            found = node.coordinator.document
-            if found.number and found.number not in self.numbers:
-                self.numbers[found.number] = (found, self.now)
-                self.decided_first(found)
-            elif found.number and self.numbers[found.number][0] != found:
-                self.wrong.append(f"two documents {found.number}")
-
-    def decided_first(self, found):
-        """The first moment at which anybody knew of that document."""
-        for one in found.orders:
-            if one.state == work_orders.OUT and one.at == found.number:
-                self.outs[one.machine] = self.now
-            if one.state == work_orders.FREE and one.at == found.number:
-                self.frees.append(one.machine)
+            document = node.coordinator.document
+            if document.number and document.number not in self.documents:
+                self.documents[document.number] = (document, self.now)
+                self.check_new_document(document)
+            elif document.number and self.documents[document.number][0] != document:
+                self.violations.append(f"two documents {document.number}")
+
+    def check_new_document(self, document):
+        """Called at the first moment at which any member knows the document."""
+        for order in document.orders:
+            if order.state == work_orders.OUT and order.at == document.number:
+                self.out_since[order.machine] = self.now
+            if order.state == work_orders.FREE and order.at == document.number:
+                self.freed.append(order.machine)
                 users = [
                     n
                     for n in range(self.members)
                     if n not in self.down
                     and n not in self.stopped
-                    and any(hop[0] == one.machine and hop[2] > self.now for hop in self.hops[n])
+                    and any(hop[0] == order.machine and hop[2] > self.now for hop in self.hops[n])
                 ]
                 if users:
-                    self.wrong.append(f"{one.machine} free, r{users[0]} has something open there")
-                self.restarts.append((self.now + int(one.needs * SECOND), one.machine))
-        for machine in list(self.outs):
-            if machine not in found.machines_in(work_orders.WITHDRAWN):
-                del self.outs[machine]
-        away = found.machines_in(work_orders.AWAY)
-        self.most_out = max(self.most_out, len(away))
+                    self.violations.append(f"{order.machine} free, r{users[0]} has something open there")
+                self.restarts.append((self.now + int(order.needs * SECOND), order.machine))
+        for machine in list(self.out_since):
+            if machine not in document.machines_in(work_orders.WITHDRAWN):
+                del self.out_since[machine]
+        away = document.machines_in(work_orders.AWAY)
+        self.max_away = max(self.max_away, len(away))
         if len(away) > self.bounds.zone * len(self.listings) or len(away) > self.bounds.at_once:
-            self.wrong.append(f"{len(away)} machines away")
+            self.violations.append(f"{len(away)} machines away")
 
-    def work_done(self):
+    def restart_machines(self):
         """Machines whose work is over start again."""
-        for at, machine in list(self.restarts):
-            if self.now >= at:
-                self.restarts.remove((at, machine))
+        for restart_at, machine in list(self.restarts):
+            if self.now >= restart_at:
+                self.restarts.remove((restart_at, machine))
                 self.listings[machine] = self.listings[machine]._replace(started=self.now // MS)
 
-    def until(self, true, limit_ms):
-        for _ in range(0, limit_ms, self.step):
-            self.run(self.step)
-            if true():
+    def run_until(self, condition, limit_ms):
+        for _ in range(0, limit_ms, self.step_ms):
+            self.run(self.step_ms)
+            if condition():
                 return
-        raise AssertionError(f"not within {limit_ms} ms: {self.latest()}")
+        raise AssertionError(f"not within {limit_ms} ms: {self.latest_document()}")
 
-    def latest(self):
-        return max((node.coordinator.document for node in self.nodes), key=lambda found: found.number)
+    def latest_document(self):
+        return max((node.coordinator.document for node in self.nodes), key=lambda document: document.number)
 
-    def how(self):
+    def outcomes(self):
         """How each order ended, by machine."""
-        return {one.machine: one.how for one in self.latest().ended}
+        return {ended.machine: ended.how for ended in self.latest_document().ended}
