--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""Bytes to values and back, whatever the splits, and configuration that does not do. No sockets."""
+"""Decoding and encoding of both protocols for any split of the bytes, faulty settings, and log lines. No sockets."""
 
 import copy
 import logging
@@ -26,58 +26,58 @@
 }
 
 
-def cut(data, cuts):
-    at = sorted(c % (len(data) + 1) for c in cuts)
-    return [data[a:b] for a, b in zip([0, *at], [*at, len(data)])]
+def cut(data, cut_points):
+    offsets = sorted(cut_point % (len(data) + 1) for cut_point in cut_points)
+    return [data[start:end] for start, end in zip([0, *offsets], [*offsets, len(data)])]
 
 
 @tries(deadline=None, derandomize=True)
 @given(st.lists(st.tuples(HEXES, st.integers(0, 9), st.binary(max_size=300)), max_size=5), st.lists(st.integers(0, 5000), max_size=8))
-def test_requests_survive_any_split_of_reads(rows, cuts):
+def test_requests_are_decoded_for_any_split_of_reads(rows, cuts):
     data = b"".join(
         b"".join(
             frames.encode(
                 frames.REQUEST,
-                n + 1,
+                index + 1,
                 None,
                 None,
                 bytes([len(FIELDS)])
                 + b"".join(
-                    bytes([len(k)]) + k.encode() + len(v).to_bytes(2, "big") + v.encode()
-                    for k, v in (FIELDS | {"txn": txn, "slice": str(part)}).items()
+                    bytes([len(name)]) + name.encode() + len(value).to_bytes(2, "big") + value.encode()
+                    for name, value in (FIELDS | {"txn": txn, "slice": str(part)}).items()
                 )
                 + body,
             )
-            + frames.encode(frames.WITHDRAW, n + 1)
+            + frames.encode(frames.WITHDRAW, index + 1)
         )
-        for n, (txn, part, body) in enumerate(rows)
+        for index, (txn, part, body) in enumerate(rows)
     )
     decoder = frames.Decoder()
     values = [value for piece in cut(data, cuts) for value in decoder.feed(piece)]
-    assert [(v.txn, v.part, v.body, v.limit, v.kb, v.group) for v in values[::2]] == [
+    assert [(value.txn, value.part, value.body, value.limit, value.kb, value.group) for value in values[::2]] == [
         (txn, part, body, 1_500_000_000, 412.5, 17) for txn, part, body in rows
     ]
-    assert values[1::2] == [frames.Withdrawal(n + 1) for n in range(len(rows))] and not len(decoder.receive_buffer)
+    assert values[1::2] == [frames.Withdrawal(index + 1) for index in range(len(rows))] and not len(decoder.receive_buffer)
 
 
 @tries(deadline=None, derandomize=True)
 @given(st.binary(max_size=400), st.lists(st.integers(0, 400), max_size=4))
-def test_garbage_is_an_error_or_values_and_nothing_else(data, cuts):
-    for decoder, bad in ((frames.Decoder(), frames.BadFrame), (resp.Decoder(), resp.BadReply)):
+def test_garbage_gives_decoded_values_or_the_decoder_s_error(data, cuts):
+    for decoder, bad_data_error in ((frames.Decoder(), frames.BadFrame), (resp.Decoder(), resp.BadReply)):
         try:
             for piece in cut(data, cuts):
                 for value in decoder.feed(piece):
                     assert isinstance(value, (frames.Request, frames.UnusableRequest, frames.Withdrawal, frames.ReadyQuery, resp.Reply))
-        except bad:
+        except bad_data_error:
             pass
 
 
 @tries(deadline=None, derandomize=True)
 @given(st.binary(max_size=200), st.binary(max_size=60), st.lists(st.integers(0, 400), max_size=4))
-def test_a_request_of_any_payload_is_read_or_unusable(payload, body, cuts):
+def test_a_request_with_any_payload_is_decoded_or_unusable(payload, body, cuts):
     decoder = frames.Decoder()
     data = b"".join(frames.encode(frames.REQUEST, 5, None, None, payload + body))
-    (value,) = [v for piece in cut(data, cuts) for v in decoder.feed(piece)]
+    (value,) = [decoded for piece in cut(data, cuts) for decoded in decoder.feed(piece)]
     assert isinstance(value, (frames.Request, frames.UnusableRequest)) and value.stream == 5
 
 
@@ -95,20 +95,20 @@
     ),
     st.lists(st.integers(0, 4000), max_size=8),
 )
-def test_replies_survive_any_split_of_reads(rows, cuts):
+def test_replies_are_decoded_for_any_split_of_reads(rows, cuts):
     data = b"".join(
         resp.encode_array(
             ident.encode(),
-            said.encode(),
+            word.encode(),
             f"entity=e,tell={note},delay={delay},meter=inflight:7;util:0.5".encode() if note else b"entity=e",
             body,
         )
-        for ident, said, body, note, delay in rows
+        for ident, word, body, note, delay in rows
     )
     decoder = resp.Decoder()
     replies = [(reply, bytes(reply.body)) for piece in cut(data, cuts) for reply in decoder.feed(piece)]
-    assert [(r.ident, r.result, body, r.note) for r, body in replies] == [
-        (ident, resp.RESULT_BY_WORD[said], body, resp.FILL_NOTES.index(note)) for ident, said, body, note, _ in rows
+    assert [(reply_row.ident, reply_row.result, body, reply_row.note) for reply_row, body in replies] == [
+        (ident, resp.RESULT_BY_WORD[word], body, resp.FILL_NOTES.index(note)) for ident, word, body, note, _ in rows
     ]
     for (reply, _), row in zip(replies, rows):
         assert reply.queued_ns == (row[4] * 1_000_000 if row[3] else None)
@@ -127,17 +127,17 @@
         (b"ACK", b"entity=e,delay=1e999", b""),
     ],
 )
-def test_an_answer_with_something_off_is_not_taken_for_a_good_one(items):
+def test_a_malformed_reply_is_an_error(items):
     with pytest.raises(resp.BadReply):
         list(resp.Decoder().feed(resp.encode_array(b"9b1f03aa5c7e2d41", *items)))
 
 
-def test_figures_of_a_load_report_that_count_nothing_are_left_out():
+def test_invalid_numbers_of_a_load_report_are_left_out():
     assert resp.parse_load("inflight:1e300;util:0.5;hits:-1;x:nan") == {"util": 0.5}
 
 
-def test_a_want_names_only_what_it_means():
-    base = dict(
+def test_a_want_message_contains_only_the_fields_that_are_set():
+    minimal_fields = dict(
         txn="9b1f03aa5c7e2d41",
         rule="media",
         obj="7f3a9c21e0b4d655",
@@ -153,11 +153,11 @@
         tag=None,
         body=b"",
     )
-    assert b"".join(resp.encode_want(resp.Want(**base))) == resp.encode_array(
+    assert b"".join(resp.encode_want(resp.Want(**minimal_fields))) == resp.encode_array(
         b"want", b"9b1f03aa5c7e2d41", b"cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=1500", b""
     )
-    full = base | dict(key="k", source="p0", rank=2, within_ms=40, join=True, renew=True, fetch=False, tag="t", body=b"x")
-    assert b"".join(resp.encode_want(resp.Want(**full))) == resp.encode_array(
+    all_fields = minimal_fields | dict(key="k", source="p0", rank=2, within_ms=40, join=True, renew=True, fetch=False, tag="t", body=b"x")
+    assert b"".join(resp.encode_want(resp.Want(**all_fields))) == resp.encode_array(
         b"want",
         b"9b1f03aa5c7e2d41",
         b"cls=media,item=7f3a9c21e0b4d655,chunk=3,limit=1500,nonce=k,miss=p0,prio=2,within=40,f=collapse+only-if-cached+refresh,mine=t",
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("data", [b"\0\0\0\4A\0\0\0\1", b"\0\4\0\1A\0\0\0\1", b"\0\0\0\5B\0\0\0\1", b"\0\0\0\5\0\0\0\0\1"])
-def test_frames_out_of_bounds_or_not_for_a_router_end_the_reading(data):
+def test_frames_of_invalid_length_or_type_are_an_error(data):
     with pytest.raises(frames.BadFrame):
         list(frames.Decoder().feed(data))
 
@@ -193,23 +193,23 @@
         ("verb", None),
     ],
 )
-def test_a_request_that_can_not_be_used_says_which_field(name, value):
-    fields = {k: v for k, v in (FIELDS | {name: value}).items() if v is not None}
+def test_an_unusable_request_names_its_faulty_field(name, value):
+    fields = {field: text for field, text in (FIELDS | {name: value}).items() if text is not None}
     payload = bytes([len(fields)]) + b"".join(
-        bytes([len(k)]) + k.encode() + len(v).to_bytes(2, "big") + v.encode() for k, v in fields.items()
+        bytes([len(field)]) + field.encode() + len(text).to_bytes(2, "big") + text.encode() for field, text in fields.items()
     )
     value = frames.decode_request(1, payload)
     assert isinstance(value, frames.UnusableRequest) and value.why.startswith(name)
 
 
-def test_streams_are_new_only_once_in_any_order():
-    used = UsedStreams()
-    assert [used.use(n) for n in (1, 3, 2, 3, 1, 4, 0)] == [True, True, True, False, False, True, False]
-    assert used.all_used_to == 4 and not used.used_above
+def test_a_stream_number_can_be_used_once_in_any_order():
+    used_streams = UsedStreams()
+    assert [used_streams.use(stream) for stream in (1, 3, 2, 3, 1, 4, 0)] == [True, True, True, False, False, True, False]
+    assert used_streams.all_used_to == 4 and not used_streams.used_above
 
 
 @pytest.mark.parametrize(
-    "path, value, said",
+    "path, value, message",
     [
         ("zone", None, "settings.zone: missing"),
         ("zone", 4, "settings.zone: not within"),
@@ -224,20 +224,20 @@
         ("shape", "look", "settings.shape: none of as-told, watch"),
     ],
 )
-def test_a_faulty_key_is_named(path, value, said):
-    conf = copy.deepcopy(settings())
-    *way, last = path.split(".")
-    part = conf
-    for key in way:
-        part = part[key]
-    part[last] = value
-    with pytest.raises(BadSite) as bad:
-        deployment(conf)
-    assert str(bad.value).startswith(said)
+def test_a_faulty_key_is_named(path, value, message):
+    deployment_settings = copy.deepcopy(settings())
+    *parent_keys, last_key = path.split(".")
+    section = deployment_settings
+    for key in parent_keys:
+        section = section[key]
+    section[last_key] = value
+    with pytest.raises(BadSite) as error:
+        deployment(deployment_settings)
+    assert str(error.value).startswith(message)
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         (None, "LB_CONFIG: "),
         ("{", "LB_CONFIG: the file is not JSON"),
@@ -248,13 +248,13 @@
         ('{"name": "n", "listen": "a:1", "board": "b:1", "limits": {"sockets": 1}, "known": {}, "seed": "1"}', "limits.sockets: below 24"),
     ],
 )
-def test_a_faulty_file_is_named(tmp_path, text, said):
+def test_a_faulty_file_is_named(tmp_path, text, message):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    with pytest.raises(BadSite) as bad:
+    with pytest.raises(BadSite) as error:
         read_node({"LB_CONFIG": str(path)})
-    assert str(bad.value).startswith(said)
+    assert str(error.value).startswith(message)
 
 
 def test_log_lines_are_key_value_pairs():
@@ -265,7 +265,7 @@
     assert format_value("") == '""'
 
 
-def test_a_flood_of_one_event_does_not_fill_the_log():
+def test_the_lines_of_one_event_a_second_are_limited_in_the_log():
     flood, lines = RateLimitFilter(), []
     for second in (7.0, 8.0):
         for _ in range(MAX_LINES_PER_SECOND + 5):
@@ -276,12 +276,12 @@
     assert len(lines) == 2 * MAX_LINES_PER_SECOND and lines[MAX_LINES_PER_SECOND] == {"left_out": 5} and lines.count({}) == 39
 
 
-def test_the_new_shape_is_read_with_defaults_that_keep_the_old_one():
-    conf = copy.deepcopy(settings())
-    conf.pop("shape", None)
-    conf["familyInfo"].pop("says", None)
-    router = deployment(conf).router
+def test_settings_without_the_new_keys_keep_the_old_shape():
+    deployment_settings = copy.deepcopy(settings())
+    deployment_settings.pop("shape", None)
+    deployment_settings["familyInfo"].pop("says", None)
+    router = deployment(deployment_settings).router
     assert (router["noteless"], router["watch"]) == (False, False)
-    conf["familyInfo"]["says"], conf["shape"] = "none", "watch"
-    router = deployment(conf).router
+    deployment_settings["familyInfo"]["says"], deployment_settings["shape"] = "none", "watch"
+    router = deployment(deployment_settings).router
     assert (router["noteless"], router["watch"]) == (True, True)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -12,7 +12,7 @@
 import known_red
 import pytest
 from helpers import Cache, Notices, SettableClock, clock, pause, sender, until
-from test_crossings import entered, joins, stays, taken
+from test_crossings import connect_client, make_listener, open_txn_with_hop, staying_client_writer
 from test_first_bytes import route_to, row
 
 from fieldspur import operators
@@ -93,9 +93,9 @@
     send = sender(cache.address)
     send.enqueue(taken_with_limit(send, 3000)).write_queued()  # its connection comes up late
     until(lambda: cache.wants)
-    other = taken_with_limit(send, 3000, ident=6, before_ms=50)
+    other = taken_with_limit(send, 3000, ident=6, taken_ms_ago=50)
     client_writer = send.open_txns.by_id[6].client_writer
-    client_writer.there.sendall(b"half a frame")
+    client_writer.client_sock.sendall(b"half a frame")
     until(lambda: receive_poll(client_writer.sock).poll(0))
     send.enqueue(other).write_queued()  # it waits for its client's reader
     time.sleep(0.4)
@@ -108,12 +108,12 @@
 
 def test_a_request_s_time_counts_from_when_it_came_and_not_from_when_its_reader_had_a_turn(run):
     """Found by the soak (seed 211): its reader waited 250 ms for word of the board, for others; so after a stop of the process."""
-    client_listener, times = entered(), {}
+    client_listener, times = make_listener(), {}
     client_listener.admission.handle_request = lambda request, client_writer, now: (
         client_writer.open_stream(request.stream, 7) and not times.update({request.stream: now})
     )
     client_listener.route.finish_batch = lambda: time.sleep(0.3) if len(times) == 1 else None
-    there = joins(client_listener)
+    there = connect_client(client_listener)
     there.ask(1)
     until(lambda: times)
     there.ask(2)
@@ -152,15 +152,15 @@
     """Found by the soak (seed 207): an attempt begun 181 ms after its client had left. It waited once, whatever came meanwhile."""
     cache = Cache(lambda want: None)
     send = sender(cache.address)
-    attempt = taken_with_limit(send, 3000, ident=6, before_ms=50)
+    attempt = taken_with_limit(send, 3000, ident=6, taken_ms_ago=50)
     client_writer = send.open_txns.by_id[6].client_writer
-    client_writer.there.sendall(b"request")
+    client_writer.client_sock.sendall(b"request")
     until(lambda: receive_poll(client_writer.sock).poll(0))
     lane = send.enqueue(attempt)
     lane.write_queued()
     until(lambda: client_writer.waiting_hops == [attempt])
     time.sleep(0.15)  # its reader works for others meanwhile
-    client_writer.there.sendall(b"cancel")
+    client_writer.client_sock.sendall(b"cancel")
     until(lambda: len(client_writer.sock.recv(100, socket.MSG_PEEK)) == 13)
     client_writer.processed_bytes += len(client_writer.sock.recv(7))
     client_writer.release_waiting()
@@ -198,9 +198,9 @@
     return call
 
 
-def taken_with_limit(send, left_ms, ident=5, before_ms=0):
+def taken_with_limit(send, left_ms, ident=5, taken_ms_ago=0):
     """An attempt of a request that was taken so long ago and has so long left; its client stays."""
-    hop = taken(send, stays(send), ident=ident, before_ms=before_ms)
+    hop = open_txn_with_hop(send, staying_client_writer(send), ident=ident, taken_ms_ago=taken_ms_ago)
     hop.want.limit_ms, hop.cut_at = left_ms, clock() + left_ms * MS
     return hop
 
@@ -291,7 +291,7 @@
 
 def test_a_connection_that_was_accepted_as_the_listener_closes_is_in_the_list_before_the_program_looks_at_it():
     """Its thread had no turn between the accept and the list; all that is listed was shut, and the program left."""
-    client_listener = entered()
+    client_listener = make_listener()
     real, handed = client_listener.listening_socket, threading.Event()
 
     class Slow(Failing):
@@ -303,44 +303,44 @@
 
     client_listener.listening_socket = Slow(real)
     threading.Thread(target=client_listener.run, daemon=True).start()
-    there = joins(client_listener, accept=False)
+    there = connect_client(client_listener, accept=False)
     there.ask(1)
     assert handed.wait(5)
     client_listener.stop_listening()
-    assert client_listener.clients and not client_listener.shut_connections(late=False) or client_listener.admission.taken == [1]
+    assert client_listener.clients and not client_listener.shut_connections(late=False) or client_listener.admission.streams == [1]
 
 
 def test_an_accept_that_fails_as_the_listener_closes_leaves_nobody_in_the_backlog():
-    client_listener = entered()
-    clients = [joins(client_listener, accept=False) for _ in range(3)]
+    client_listener = make_listener()
+    clients = [connect_client(client_listener, accept=False) for _ in range(3)]
     for stream, client in enumerate(clients, 1):
         client.ask(stream)
     client_listener.listening_socket = Failing(client_listener.listening_socket, errno.ECONNABORTED, errno.ENFILE)
     client_listener.stop_listening()
-    until(lambda: sorted(client_listener.admission.taken) == [1, 2, 3], limit=3)
+    until(lambda: sorted(client_listener.admission.streams) == [1, 2, 3], limit=3)
 
 
 def test_an_accept_that_fails_for_a_moment_costs_no_client_its_connection():
     """Found by the soak (seed 122): a request sent to a resting connection in that moment was cut off with it."""
-    client_listener = entered()
-    resting = [joins(client_listener) for _ in range(3)]
+    client_listener = make_listener()
+    resting = [connect_client(client_listener) for _ in range(3)]
     client_listener.listening_socket = Failing(
         client_listener.listening_socket, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ECONNABORTED
     )
     threading.Thread(target=client_listener.run, daemon=True).start()
-    further = joins(client_listener, accept=False)
+    further = connect_client(client_listener, accept=False)
     further.ask(9)
-    until(lambda: client_listener.admission.taken == [9])
+    until(lambda: client_listener.admission.streams == [9])
     for stream, client in enumerate(resting, 1):
         client.ask(stream)
-    until(lambda: sorted(client_listener.admission.taken) == [1, 2, 3, 9])
+    until(lambda: sorted(client_listener.admission.streams) == [1, 2, 3, 9])
     client_listener.stop_listening()
 
 
 def test_a_client_with_an_open_request_is_answered_whoever_fills_the_memory_for_frames():
-    client_listener = entered()
+    client_listener = make_listener()
     client_listener.max_unfinished_bytes = 1000
-    there = joins(client_listener)
+    there = connect_client(client_listener)
     there.ask(1)
     client = next(iter(client_listener.clients))
     until(lambda: client.client_writer.streams)
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -6,7 +6,7 @@
 import time
 
 from helpers import Cache, Service, clock, endpoint, sender, until
-from test_crossings import stays, taken
+from test_crossings import open_txn_with_hop, staying_client_writer
 from test_first_bytes import route_to, row
 
 from fieldspur.decide import MS, SECOND
@@ -51,7 +51,7 @@
     """Issue 40: the attempt found its server listed, and then asked for its address where it was listed no more."""
     cache = Cache()
     send = sender(cache.address)
-    attempt = taken(send, stays(send))
+    attempt = open_txn_with_hop(send, staying_client_writer(send))
     removal = threading.Thread(target=lambda: send.update_endpoint("c0", ("", 0), "gone"))
 
     def removed():
@@ -140,11 +140,11 @@
     """A server that is listed at another address: its old connection leads to a process that was removed, or to another server's."""
     old, new = Cache(lambda want: None), Cache(lambda want: None)
     send = sender(old.address)
-    send.enqueue(taken(send, stays(send), ident=5)).write_queued()
+    send.enqueue(open_txn_with_hop(send, staying_client_writer(send), ident=5)).write_queued()
     until(lambda: old.wants)
     host, port = new.address.split(":")
     send.update_endpoint("c0", (host, int(port)), "up")
-    send.enqueue(taken(send, stays(send), ident=6)).write_queued()
+    send.enqueue(open_txn_with_hop(send, staying_client_writer(send), ident=6)).write_queued()
     until(lambda: new.wants)
     assert len(old.wants) == len(new.wants) == 1
 
@@ -152,7 +152,7 @@
 def test_an_attempt_that_waits_for_a_server_that_is_listed_elsewhere_meanwhile_is_not_written_there(monkeypatch):
     old, new = Cache(lambda want: None), Cache(lambda want: None)
     send = sender(old.address)
-    attempt = taken(send, stays(send))
+    attempt = open_txn_with_hop(send, staying_client_writer(send))
     dialled = dials_wait(monkeypatch)
     send.enqueue(attempt)
     host, port = new.address.split(":")
@@ -176,7 +176,7 @@
         send, route = route_to(cache)
         parent = replace(row(cache, "up"), name="p0", kind="parent")
         route.list_received(ListChange(False, (parent,)))
-        taken(send, stays(send), ident=5)
+        open_txn_with_hop(send, staying_client_writer(send), ident=5)
         dialled = dials_wait(monkeypatch)
         with route.lock:  # the Router is at something, and has not heard of the start
             route.hop(5, "c0", clock() + 3 * SECOND, "p0", 0, 0, False, False, True, NEVER)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,6 @@
-"""The whole program as a process, between stand-ins on loopback. Tests wait for conditions, not for times."""
+"""The whole program as a process, between simulated clients, caches and discovery on loopback.
+
+Tests wait for conditions, not for fixed times. Some test parts of the network side without a process."""
 
 import json
 import signal
@@ -42,7 +44,7 @@
     assert want["mine"] == "4be0c1927d55a6f3" and want["miss"] == "o" and 2000 < int(want["limit"]) <= 3000
 
 
-def test_a_client_whose_copy_holds_gets_no_bytes(run):
+def test_a_client_whose_copy_is_current_gets_no_body(run):
     client = run(Cache(lambda want: ("NOMOD", "entity=4be0c1927d55a6f3,issued=1,tell=TCP_HIT", b""))).client()
     client.ask(1, seen="4be0c1927d55a6f3")
     assert client.get() == (66, 1, 79, {"current": "1"}, b"")
@@ -58,16 +60,17 @@
         ("entity=4be0c1927d55a6f3,issued=1", b"", ""),
     ],
 )
-def test_a_copy_is_called_current_only_where_a_server_named_that_copy_to_this_client(run, fields, body, seen):
-    spoilt = Cache(lambda want: ("NOMOD", fields, body))
-    service = run(spoilt)
+def test_an_answer_calls_the_client_s_copy_current_only_if_the_server_named_that_copy(run, fields, body, seen):
+    faulty_cache = Cache(lambda want: ("NOMOD", fields, body))
+    service = run(faulty_cache)
     client = service.client()
     client.ask(1, drop=() if seen else ("seen",), seen=seen)
-    assert client.get()[:3] == (66, 1, 66) and len(spoilt.wants) == 3  # three errors end a txn; nothing of the kind was passed on
+    # The txn ends after three errors, and none of the faulty answers was passed on.
+    assert client.get()[:3] == (66, 1, 66) and len(faulty_cache.wants) == 3
     assert "event=spoilt" in service.lines()
 
 
-def test_answers_come_in_any_order(run):
+def test_answers_are_sent_in_the_order_in_which_servers_give_them(run):
     cache = Cache(lambda want: None if want["item"].endswith("1") else ACK)
     client = run(cache).client()
     client.ask(1)
@@ -78,7 +81,7 @@
     assert client.get()[1] == 1
 
 
-def test_what_no_server_takes_is_refused_at_once_with_a_time_to_come_back(run):
+def test_a_txn_that_no_server_takes_is_rejected_at_once_with_a_retry_time(run):
     client = run(Cache(lambda want: ("AGAIN", "-", b""))).client()
     client.ask(1, limit="60000")
     kind, stream, code, fields, body = client.get()
@@ -93,7 +96,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoilt",
+    "bad_bytes",
     [
         b"*4\r\n$16\r\n0000",
         b"*4\r\n$99\r\n",
@@ -104,30 +107,30 @@
     ],
     ids=range(6),
 )
-def test_an_answer_that_is_spoilt_or_stops_short_costs_a_hop_and_not_the_txn(run, spoilt):
-    def says(want):
+def test_a_malformed_or_truncated_server_answer_fails_the_hop_and_not_the_txn(run, bad_bytes):
+    def answer_want(want):
         if len(cache.wants) > 1:
             return ACK
-        cache.held[want["id"]].sendall(spoilt)  # and the connection stays open
+        cache.held[want["id"]].sendall(bad_bytes)  # the connection stays open
 
-    cache, conf = Cache(says), settings()
-    conf["allowed"]["connectTimeoutUs"] = 200_000
-    service = run(cache, settings=conf)
+    cache, deployment_settings = Cache(answer_want), settings()
+    deployment_settings["allowed"]["connectTimeoutUs"] = 200_000
+    service = run(cache, settings=deployment_settings)
     client = service.client()
-    began = time.monotonic()
+    sent_at = time.monotonic()
     client.ask(1)
-    assert client.get() == (66, 1, 79, {}, b"bytes") and len(cache.conns) == 2 and time.monotonic() - began < 2
-    assert "event=decided" not in service.lines()  # no server was ejected for it
+    assert client.get() == (66, 1, 79, {}, b"bytes") and len(cache.conns) == 2 and time.monotonic() - sent_at < 2
+    assert "event=decided" not in service.lines()  # no server was ejected because of the answer
 
 
-def test_a_further_copy_of_an_answer_and_answers_to_nobody_go_to_nobody(run):
-    def says(want):
+def test_repeated_server_answers_and_answers_to_unknown_hops_are_discarded(run):
+    def answer_want(want):
         cache.held["f" * 16] = cache.held[want["id"]]
         cache.answer("f" * 16, "ACK", "entity=e,issued=1", b"unknown")
         for _ in range(2):
             cache.answer(want["id"], "ACK", "entity=e,issued=1", want["id"].encode())
 
-    cache = Cache(says)
+    cache = Cache(answer_want)
     client = run(cache).client()
     for stream in range(1, 9):
         client.ask(stream)
@@ -136,25 +139,25 @@
 
 
 def test_a_server_that_refuses_connections_is_unreachable_and_another_serves(run):
-    dead = Listener()
-    dead.sock.close()
+    closed_listener = Listener()
+    closed_listener.sock.close()
     cache = Cache()
-    client = run(dead, cache).client()
+    client = run(closed_listener, cache).client()
     for stream in range(1, 9):
         client.ask(stream)
         assert client.get()[:3] == (66, stream, 79)
     assert len(cache.wants) == 8
 
 
-def test_a_server_that_says_nothing_costs_one_final_answer_in_time(run):
+def test_a_txn_at_a_silent_server_gets_one_final_answer_in_time(run):
     cache = Cache(lambda want: None)
     client = run(cache).client()
-    began = time.monotonic()
+    sent_at = time.monotonic()
     client.ask(1, limit="400")
     kind, stream, code, _, _ = client.get()
-    assert (kind, stream, code) == (66, 1, 66) and time.monotonic() - began >= 0.3
+    assert (kind, stream, code) == (66, 1, 66) and time.monotonic() - sent_at >= 0.3
     until(lambda: "%016x" % 1 in cache.given_up, "never_mind")
-    cache.answer("%016x" % 1, *ACK)  # too late: nobody gets it
+    cache.answer("%016x" % 1, *ACK)  # too late: no client gets this answer
     cache.says = lambda want: ACK
     client.ask(2)
     assert client.get()[1] == 2
@@ -183,19 +186,19 @@
 
 
 @pytest.mark.parametrize("data", [b"\0\0\0\4A\0\0\0\7", b"\0\x7f\0\0A\0\0\0\7", b"\0\0\0\5B\0\0\0\7", b"\0\0\0\6Z\0\0\0\7\0"])
-def test_a_connection_that_can_not_be_read_is_told_and_closed_after_what_it_owes(run, data):
+def test_an_unreadable_client_connection_gets_an_error_and_its_owed_answers_before_it_is_closed(run, data):
     cache = Cache(lambda want: None)
     service = run(cache)
-    bad, good = service.client(), service.client()
-    bad.ask(1)
+    bad_client, good_client = service.client(), service.client()
+    bad_client.ask(1)
     until(lambda: cache.wants)
-    bad.sock.sendall(data)
-    assert bad.get()[:3] == (66, 0, 69)
+    bad_client.sock.sendall(data)
+    assert bad_client.get()[:3] == (66, 0, 69)
     cache.answer("%016x" % 1, *ACK)
-    assert bad.get()[:3] == (66, 1, 79) and bad.get() is None
+    assert bad_client.get()[:3] == (66, 1, 79) and bad_client.get() is None
     cache.says = lambda want: ACK
-    good.ask(2)
-    assert good.get()[:3] == (66, 2, 79)
+    good_client.ask(2)
+    assert good_client.get()[:3] == (66, 2, 79)
 
 
 def test_a_stream_used_again_ends_the_connection(run):
@@ -220,7 +223,7 @@
     assert [want["id"] for want in cache.wants] == ["%016x" % 3]
 
 
-def test_more_open_txns_than_a_connection_may_have_are_refused(run):
+def test_txns_beyond_the_limit_of_a_connection_are_rejected(run):
     cache = Cache(lambda want: None)
     client = run(cache).client()
     for stream in range(1, 34):
@@ -228,49 +231,49 @@
     assert client.get()[:3] == (66, 33, 66)
 
 
-def test_a_slow_client_holds_up_nobody(run):
+def test_a_client_that_does_not_read_delays_no_other(run):
     body = b"x" * 240_000
     cache = Cache(lambda want: ("ACK", "entity=e,issued=1", body))
     service = run(cache)
-    slow, fast = service.client(), service.client()
-    for stream in range(1, 31):  # it does not read
-        slow.ask(stream)
+    slow_client, fast_client = service.client(), service.client()
+    for stream in range(1, 31):  # it does not read its answers
+        slow_client.ask(stream)
     for stream in range(101, 131):
-        fast.ask(stream)
-        assert fast.get()[4] == body
-    assert sorted(slow.get()[1] for _ in range(30)) == list(range(1, 31))
+        fast_client.ask(stream)
+        assert fast_client.get()[4] == body
+    assert sorted(slow_client.get()[1] for _ in range(30)) == list(range(1, 31))
 
 
-def test_purges_and_drains_bind_as_soon_as_they_are_told(run):
-    cache, other = Cache(), Cache()
-    service = run(cache, other)
+def test_purges_and_drains_apply_as_soon_as_discovery_sends_them(run):
+    cache, second_cache = Cache(), Cache()
+    service = run(cache, second_cache)
     client = service.client()
     client.ask(1)
     client.get()
-    home, rest = (cache, other) if cache.wants else (other, cache)
-    made = time.monotonic() - 0.1
+    home_cache, other_cache = (cache, second_cache) if cache.wants else (second_cache, cache)
+    purged_at = time.monotonic() - 0.1
     service.board.tell(2, flush={"asset": "%016x" % 1, "ms": int(time.time() * 1000) - 100})
 
-    def purged():
+    def purge_applies():
         client.stream = getattr(client, "stream", 1) + 1
         client.ask(client.stream, item="%016x" % 1)
         client.get()
-        return home.wants[-1].get("within")
+        return home_cache.wants[-1].get("within")
 
-    assert 0 < int(until(purged, "a purge")) <= (time.monotonic() - made) * 1000  # no copy older than the purge will do
-    name = "c0" if home is cache else "c1"
-    service.board.tell(3, pool={"index": 2, "snapshot": False, "endpoints": [endpoint(name, home.address, status="draining")]})
+    assert 0 < int(until(purge_applies, "a purge")) <= (time.monotonic() - purged_at) * 1000  # a copy must not be older than the purge
+    name = "c0" if home_cache is cache else "c1"
+    service.board.tell(3, pool={"index": 2, "snapshot": False, "endpoints": [endpoint(name, home_cache.address, status="draining")]})
 
-    def drained():
+    def drain_applies():
         client.stream += 1
         client.ask(client.stream, item="%016x" % 1)
-        return client.get()[2] == 79 and rest.wants
+        return client.get()[2] == 79 and other_cache.wants
 
-    until(drained, "the drain")
-    assert all(want.get("miss") != name for want in rest.wants)
+    until(drain_applies, "the drain")
+    assert all(want.get("miss") != name for want in other_cache.wants)
 
 
-def test_a_board_that_breaks_off_is_watched_from_the_last_event_on(run):
+def test_a_discovery_watch_that_breaks_continues_after_the_last_event(run):
     cache = Cache()
     service = run(cache)
     until(lambda: service.board.watched == [1])
@@ -278,44 +281,47 @@
     time.sleep(0.1)
     service.board.reset()
     until(lambda: service.board.watched[-1] == 2 and len(service.board.watched) > 1, "a second watch")
-    service.board.tell(4, flush={"collection": 9, "ms": 1})  # 3 is missing: it asks again, and applies nothing
+    service.board.tell(4, flush={"collection": 9, "ms": 1})  # event 3 is missing: the router watches again and does not apply event 4
     until(lambda: len(service.board.watched) > 3 and service.board.watched[-1] == 2, "a watch after a gap")
     service.board.events.insert(-1, {"rev": 3, "flush": {"collection": 7, "ms": int(time.time() * 1000) - 50}})
     until(lambda: "followed by 4" in service.lines())
     client = service.client()
 
-    def applied():
+    def purge_applies():
         client.stream = getattr(client, "stream", 0) + 1
         client.ask(client.stream, item="%016x" % 1)
         client.get()
         return "within" in cache.wants[-1]
 
-    until(applied, "the purge that was missing")
+    until(purge_applies, "the purge that was missing")
 
 
-def test_a_new_configuration_moves_to_the_new_board_and_a_faulty_one_is_kept_out(run):
+def test_a_reload_moves_the_watch_to_the_new_discovery_service_and_a_faulty_file_changes_nothing(run):
     cache = Cache()
     service = run(cache)
-    first, second = service.board, Notices()
-    until(lambda: first.watched == [1])
+    first_discovery, second_discovery = service.board, Notices()
+    until(lambda: first_discovery.watched == [1])
     service.reload("{")
     until(lambda: "event=kept" in service.lines(), "the faulty file")
-    first.tell(2, flush={"collection": 9, "ms": 1})
-    first.sock.close()  # the old board stays open and says nothing more
-    until(lambda: len(first.sent) == 1, "event 2")
-    second.tell(3, flush={"collection": 7, "ms": int(time.time() * 1000) - 50})
-    for _ in range(3):  # in a row
-        service.reload(board=second.address, seed="20")
-    until(lambda: second.watched and second.watched[0] == 2, "a watch of the new board from the last number on")
+    first_discovery.tell(2, flush={"collection": 9, "ms": 1})
+    first_discovery.sock.close()  # connections to the old discovery service stay open, without further events
+    until(lambda: len(first_discovery.sent) == 1, "event 2")
+    second_discovery.tell(3, flush={"collection": 7, "ms": int(time.time() * 1000) - 50})
+    for _ in range(3):  # several reloads without a pause
+        service.reload(board=second_discovery.address, seed="20")
+    until(
+        lambda: second_discovery.watched and second_discovery.watched[0] == 2,
+        "a watch of the new discovery service from the last number on",
+    )
     client = service.client()
 
-    def applied():
+    def purge_applies():
         client.stream = getattr(client, "stream", 0) + 1
         client.ask(client.stream, item="%016x" % 1)
         client.get()
         return "within" in cache.wants[-1]
 
-    until(applied, "the purge that the new board told")
+    until(purge_applies, "the purge that the new discovery service sent")
     assert "event=reloaded" in service.lines() and "unchanged=seed" in service.lines()
     service.process.terminate()
     service.process.send_signal(signal.SIGHUP)
@@ -335,9 +341,9 @@
     ],
     ids=range(7),
 )
-def test_nothing_that_the_board_writes_ends_the_program(run, line):
+def test_no_line_from_discovery_ends_the_program(run, line):
     service = run(Cache())
-    service.client()  # ready: the board has said its last number, and writes nothing more on its own
+    service.client()  # the router is ready: it has got the last number, and discovery sends nothing more by itself
     service.board.conns[0].sendall(line + b"\n")
     until(lambda: len(service.board.watched) > 1, "a further watch")
     client = service.client()
@@ -345,43 +351,43 @@
     assert client.get()[:3] == (66, 1, 79)
 
 
-def test_a_board_that_goes_silent_in_the_middle_of_a_line_is_watched_again(run):
+def test_a_discovery_watch_that_stalls_within_a_line_is_started_again(run):
     service = run(Cache())
     until(lambda: service.board.conns)
     conn = service.board.conns[0]
 
-    def trickle():  # bytes alone are no sign of life
+    def send_space():  # bytes without a whole line do not count as a sign of life
         try:
             conn.sendall(b" ")
         except OSError:
-            pass  # given up at the other end
+            pass  # the router has closed the connection
         return len(service.board.watched) > 1
 
-    until(trickle, "a further watch")
+    until(send_space, "a further watch")
 
 
-def test_a_restarted_cache_at_a_known_address_is_another_server(run):
+def test_a_restarted_cache_at_a_known_address_gets_its_own_connection(run):
     cache = Cache()
     service = run(cache)
     client = service.client()
     client.ask(1)
     client.get()
-    before = len(cache.conns)
+    connections_before = len(cache.conns)
     service.board.tell(
         2,
         pool={"index": 2, "snapshot": False, "endpoints": [endpoint("c0", cache.address, status="removed"), endpoint("c9", cache.address)]},
     )
 
-    def moved():
+    def has_new_connection():
         client.stream = getattr(client, "stream", 1) + 1
         client.ask(client.stream)
         assert client.get()[2] in (66, 79)
-        return len(cache.conns) > before
+        return len(cache.conns) > connections_before
 
-    until(moved, "a connection of its own")
+    until(has_new_connection, "a new connection to the cache")
 
 
-def test_an_ending_router_answers_what_it_took_and_what_still_comes(run):
+def test_an_ending_router_answers_open_txns_and_requests_that_still_arrive(run):
     cache = Cache(lambda want: None)
     service = run(cache)
     client = service.client()
@@ -389,19 +395,19 @@
     until(lambda: cache.wants)
     service.process.terminate()
     assert client.get()[:2] == (90, 0)
-    late = Client(service.address)
-    late.send(80, 7, b"\0")
-    assert late.get()[:3] == (81, 7, 66)
-    late.ask(8)
+    late_client = Client(service.address)
+    late_client.send(80, 7, b"\0")
+    assert late_client.get()[:3] == (81, 7, 66)
+    late_client.ask(8)
     until(lambda: len(cache.wants) == 2)
     cache.answer("%016x" % 1, *ACK)
     cache.answer("%016x" % 8, *ACK)
-    assert client.get()[1:3] == (1, 79) and late.get()[1:3] == (8, 79)
+    assert client.get()[1:3] == (1, 79) and late_client.get()[1:3] == (8, 79)
     assert service.process.wait(20) == 0 and "event=ended" in service.lines()
 
 
-def test_a_program_that_is_stopped_for_a_while_goes_on_when_it_is_continued(run):
-    """Found on sockets: stopped while it waited for a signal with a time limit, it took the end of that for SIGTERM."""
+def test_a_program_that_was_stopped_for_a_while_goes_on_after_sigcont(run):
+    """Found on sockets: a router that was stopped while it waited for a signal with a timeout mistook the timeout for SIGTERM."""
     service = run(Cache())
     service.client()
     service.process.send_signal(signal.SIGSTOP)
@@ -412,54 +418,54 @@
     assert client.get()[:3] == (66, 1, 79) and "event=ending" not in service.lines()
 
 
-def test_clients_that_send_nothing_give_way_to_others(run):
+def test_connections_without_a_request_are_closed_to_make_place_for_others(run):
     service = run(Cache())
-    first, kept = service.client(), service.client()
-    kept.ask(1, txn="1" * 16)
-    assert kept.get()[:3] == (66, 1, 79)
-    idle = [Client(service.address) for _ in range(140)]  # 128 are served at once
+    silent_client, useful_client = service.client(), service.client()
+    useful_client.ask(1, txn="1" * 16)
+    assert useful_client.get()[:3] == (66, 1, 79)
+    idle_clients = [Client(service.address) for _ in range(140)]  # more than the 128 connections that are allowed at a time
     client = service.client()
     client.ask(1)
-    assert client.get()[:3] == (66, 1, 79) and first.get() is None and len(idle) == 140
-    kept.ask(2, txn="2" * 16)  # it has proved to be of use, and is not the one to give way
-    assert kept.get()[:3] == (66, 2, 79)
+    assert client.get()[:3] == (66, 1, 79) and silent_client.get() is None and len(idle_clients) == 140
+    useful_client.ask(2, txn="2" * 16)  # it has sent a usable request, so other connections are closed first
+    assert useful_client.get()[:3] == (66, 2, 79)
 
 
-@pytest.mark.parametrize("sent", [b"", b"\0\0", b"\0\0\1\0A\0\0\0\1half"])
-def test_a_connection_that_never_sends_a_whole_request_is_closed_within_3_s(run, sent):
+@pytest.mark.parametrize("sent_bytes", [b"", b"\0\0", b"\0\0\1\0A\0\0\0\1half"])
+def test_a_connection_that_never_sends_a_whole_request_is_closed_within_3_s(run, sent_bytes):
     client = run(Cache()).client()
-    client.sock.sendall(sent)
-    began = time.monotonic()
-    assert client.get() is None and time.monotonic() - began < 3
+    client.sock.sendall(sent_bytes)
+    sent_at = time.monotonic()
+    assert client.get() is None and time.monotonic() - sent_at < 3
 
 
-def test_a_client_that_sends_on_after_what_can_not_be_read_is_told_and_closed(run):
+def test_a_client_that_sends_on_after_an_unreadable_frame_is_cut_off(run):
     client = run(Cache()).client()
-    client.sock.sendall(b"\3\x93\x87\0A\0\0\0\1")  # 60 MB are to come
-    began = time.monotonic()
+    client.sock.sendall(b"\3\x93\x87\0A\0\0\0\1")  # announces a frame of 60 MB
+    sent_at = time.monotonic()
     with pytest.raises(OSError):
         while True:
             client.sock.sendall(b"x" * 100_000)
-    assert time.monotonic() - began < 6
+    assert time.monotonic() - sent_at < 6
 
 
-def test_a_connection_used_as_it_should_be_is_kept_for_longer_than_one_that_is_not():
-    here, _there = socket.socketpair()
-    client = ClientConnection(SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000), here)
-    begun = client.state_since
-    assert not client.reason_to_close(begun + 1.9) and client.reason_to_close(begun + 2.1) == "idle"
+def test_a_connection_that_sent_a_usable_request_may_be_idle_for_longer():
+    router_sock, _client_sock = socket.socketpair()
+    client = ClientConnection(SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000), router_sock)
+    accepted_at = client.state_since
+    assert not client.reason_to_close(accepted_at + 1.9) and client.reason_to_close(accepted_at + 2.1) == "idle"
     client.sent_usable_request = True
-    assert not client.reason_to_close(begun + 4.5) and client.reason_to_close(begun + 5.1) == "idle"
+    assert not client.reason_to_close(accepted_at + 4.5) and client.reason_to_close(accepted_at + 5.1) == "idle"
     client.client_writer.open_stream(1, 7)
-    assert not client.reason_to_close(begun + 60) and not client.client_writer.shut_if_idle()
+    assert not client.reason_to_close(accepted_at + 60) and not client.client_writer.shut_if_idle()
     client.client_writer.streams.clear()
     assert client.client_writer.shut_if_idle() and not client.client_writer.open_stream(2, 8) and not client.client_writer.streams
 
 
-def test_bytes_of_unfinished_frames_are_bounded_in_sum(run):
+def test_the_bytes_of_all_unfinished_frames_together_are_bounded(run):
     service = run(Cache(), limits={"cores": 1.0, "memory_mb": 32, "sockets": 256})
-    half = [service.client() for _ in range(20)]
-    for client in half:  # 4 MB may be held
+    unfinished_clients = [service.client() for _ in range(20)]
+    for client in unfinished_clients:  # together more than the 4 MB that unfinished frames may hold
         client.sock.sendall(b"\0\4\0\0A\0\0\0\1" + b"x" * 250_000)
     until(lambda: "event=frames_full" in service.lines())
     client = service.client()
@@ -467,7 +473,7 @@
     assert client.get()[:3] == (66, 1, 79)
 
 
-def test_an_id_used_before_fails_alone_and_a_limit_out_of_range_is_the_rules_own(run):
+def test_a_request_with_a_used_id_fails_alone_and_a_long_time_limit_is_cut_to_the_rule_s(run):
     cache = Cache(lambda want: None)
     client = run(cache).client()
     client.ask(1, limit="1209600000")
@@ -482,9 +488,9 @@
     service = run(Cache(), limits={"cores": 1.0, "memory_mb": 32, "sockets": 1024})
     service.end()
     service.path.write_text(json.dumps(service.conf))
-    whole = Whole(read_node({"LB_CONFIG": str(service.path)}))
-    whole.client_listener.stop_listening()
-    assert whole.send.max_connections == 16 and whole.client_listener.max_clients == 512
+    local_service = Whole(read_node({"LB_CONFIG": str(service.path)}))
+    local_service.client_listener.stop_listening()
+    assert local_service.send.max_connections == 16 and local_service.client_listener.max_clients == 512
 
 
 def test_a_faulty_key_ends_the_program_with_code_2(run):
@@ -498,73 +504,74 @@
         "import threading, time, fieldspur.__main__ as m; m.logs.configure(); threading.excepthook = m.fail\n"
         "threading.Thread(target=lambda: 1 / 0).start(); time.sleep(30)"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, timeout=20)
-    assert done.returncode == 1 and b"event=crashed" in done.stderr and b"ZeroDivisionError" in done.stderr
+    ended_process = subprocess.run([sys.executable, "-c", code], capture_output=True, timeout=20)
+    assert ended_process.returncode == 1 and b"event=crashed" in ended_process.stderr and b"ZeroDivisionError" in ended_process.stderr
 
 
-def test_what_must_hold_is_asserted_here_and_counted_in_a_release_build():
+def test_invariants_are_asserted_in_debug_builds_and_counted_in_release_builds():
     with pytest.raises(AssertionError):
         holding.check_invariant(False, "a thing")
     code = (
         "from fieldspur.net import logs, invariants as h; logs.configure()\n"
         "print(h.check_invariant(True, 'a'), h.check_invariant(False, 'b', n=1), h.check_invariant(False, 'b'), h.violation_counts)"
     )
-    done = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, timeout=20)
-    assert done.stdout.decode().strip() == "True False False {'b': 2}" and b"event=broken" in done.stderr
+    ended_process = subprocess.run([sys.executable, "-O", "-c", code], capture_output=True, timeout=20)
+    assert ended_process.stdout.decode().strip() == "True False False {'b': 2}" and b"event=broken" in ended_process.stderr
 
 
-def probe(send, name="busy-1"):
-    return go(send, Hop(0, 1, name, "c0", None, None, clock()))
+def send_probe(pool, name="busy-1"):
+    return send_hop(pool, Hop(0, 1, name, "c0", None, None, clock()))
 
 
-def go(send, hop):
-    lane = send.enqueue(hop)
-    if lane is not None:
-        lane.write_queued()
+def send_hop(pool, hop):
+    connection = pool.enqueue(hop)
+    if connection is not None:
+        connection.write_queued()
     return hop
 
 
 @pytest.mark.parametrize("state, source, result", [("draining", None, "unsent"), ("up", "p0", "unsent")])
-def test_a_hop_that_waited_while_its_server_or_source_began_to_drain_never_goes_out(state, source, result):
+def test_a_hop_that_waited_while_its_server_or_source_began_to_drain_is_not_written(state, source, result):
     cache = Cache()
-    send = sender(cache.address, state)
-    hop = go(send, Hop(0, 1, "busy-1", "c0", source, None, clock()))
-    assert until(lambda: send.host.posted)[0][:2] == (hop, result) and result in RESULTS and not cache.wants
-
-
-def test_each_hop_ends_once_however_many_things_end_it():
-    quiet = Listener()
-    send = sender(quiet.address)
-    hop = probe(send)
-    until(lambda: hop.written_at and quiet.conns)
-    assert send.give_up(hop, clock()) and not send.give_up(hop, clock())
-    lane = hop.connection
-    quiet.reset()
-    until(lambda: lane.closed)
-    send.end_hop(hop, "broken")
-    assert not send.host.posted
-
-
-def test_hops_are_spread_where_connections_break_and_share_one_where_they_do_not():
-    """Found on sockets: many connections a server cost the whole core at a thousand txns a second on a calm day."""
-    quiet = Listener()
-    send = sender(quiet.address, lanes=8)
-    calm = [probe(send, f"calm-{n}") for n in range(40)]
-    until(lambda: all(hop.written_at for hop in calm))
-    assert len({hop.connection for hop in calm}) == 1
-    calm[0].connection.shut_down()
-    until(lambda: len(send.host.posted) == 40)
-    send.host.posted.clear()
-    hops = [probe(send, f"busy-{n}") for n in range(40)]
-    until(lambda: all(hop.written_at for hop in hops))
-    lanes = {hop.connection for hop in hops}
-    assert max(len(lane.open_hops) for lane in lanes) == 10 and len(lanes) == 4  # the other half is for other servers
-    hops[0].connection.shut_down()
-    until(lambda: len(send.host.posted) == 10)
-    assert {about[1] for about in send.host.posted} == {"broken"}
-
-
-def test_a_lag_is_forgotten_with_time_whatever_the_traffic():
+    pool = sender(cache.address, state)
+    hop = send_hop(pool, Hop(0, 1, "busy-1", "c0", source, None, clock()))
+    assert until(lambda: pool.host.posted)[0][:2] == (hop, result) and result in RESULTS and not cache.wants
+
+
+def test_a_hop_that_is_ended_by_several_causes_ends_once():
+    silent_server = Listener()
+    pool = sender(silent_server.address)
+    hop = send_probe(pool)
+    until(lambda: hop.written_at and silent_server.conns)
+    assert pool.give_up(hop, clock()) and not pool.give_up(hop, clock())
+    connection = hop.connection
+    silent_server.reset()
+    until(lambda: connection.closed)
+    pool.end_hop(hop, "broken")
+    assert not pool.host.posted
+
+
+def test_hops_share_one_connection_until_connections_to_the_server_break():
+    """Found on sockets: many connections to each server used a whole core at 1,000 txns a second without any faults."""
+    silent_server = Listener()
+    pool = sender(silent_server.address, lanes=8)
+    hops_before = [send_probe(pool, f"calm-{number}") for number in range(40)]
+    until(lambda: all(hop.written_at for hop in hops_before))
+    assert len({hop.connection for hop in hops_before}) == 1
+    hops_before[0].connection.shut_down()
+    until(lambda: len(pool.host.posted) == 40)
+    pool.host.posted.clear()
+    hops_after = [send_probe(pool, f"busy-{number}") for number in range(40)]
+    until(lambda: all(hop.written_at for hop in hops_after))
+    connections = {hop.connection for hop in hops_after}
+    # Only half of the connections are used: the other half is for other servers.
+    assert max(len(connection.open_hops) for connection in connections) == 10 and len(connections) == 4
+    hops_after[0].connection.shut_down()
+    until(lambda: len(pool.host.posted) == 10)
+    assert {event[1] for event in pool.host.posted} == {"broken"}
+
+
+def test_the_router_s_lag_fades_with_time():
     route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.record_lag(800 * MS)
     route.clock += 2000 * MS
@@ -573,39 +580,39 @@
 
 
 def test_a_connection_that_went_silent_is_not_used_again():
-    quiet = Listener()
-    send = sender(quiet.address)
-    hop = probe(send)
+    silent_server = Listener()
+    pool = sender(silent_server.address)
+    hop = send_probe(pool)
     until(lambda: hop.written_at)
-    send.give_up(hop, hop.written_at + 6_000_000_000)
-    again = probe(send, "busy-2")
-    until(lambda: again.written_at)
-    assert again.connection is not hop.connection
+    pool.give_up(hop, hop.written_at + 6_000_000_000)
+    second_hop = send_probe(pool, "busy-2")
+    until(lambda: second_hop.written_at)
+    assert second_hop.connection is not hop.connection
 
 
-def test_answers_that_no_memory_is_left_for_fail_and_say_so():
-    here, there = socket.socketpair()
+def test_an_answer_that_exceeds_the_memory_for_answers_is_aborted_and_counted():
+    router_sock, client_sock = socket.socketpair()
     answer_sender = AnswerSender(max_held_bytes=1000)
-    client_writer = ClientWriter(here, encode, answer_sender)
+    client_writer = ClientWriter(router_sock, encode, answer_sender)
     client_writer.streams[1] = 5
     assert client_writer.answer(1, Answer("completed", body=b"x" * 2000))
-    assert there.recv(100) == b"".join(encode(1, Answer("aborted"))) and answer_sender.memory_refusals == 1
+    assert client_sock.recv(100) == b"".join(encode(1, Answer("aborted"))) and answer_sender.memory_refusals == 1
     assert not client_writer.answer(1, Answer("aborted"))
 
 
-def test_an_answer_is_owed_until_it_is_with_its_connection():
-    """Found at a restart: the book was empty, and the program ended before its last answer was written."""
-    answer_sender, open_txns, seen = AnswerSender(1 << 20), OpenTxns(), []
-    send = ConnectionPool(deployment(settings()), open_txns, answer_sender, 4)
-    send.host = Events()
-    client_writer = SimpleNamespace(answer=lambda *about: seen.append((answer_sender.all_delivered(), dict(open_txns.by_id))))
+def test_an_answer_counts_as_undelivered_until_its_connection_has_it():
+    """Found at a restart: no txn was open any more, and the program ended before its last answer was written."""
+    answer_sender, open_txns, seen_states = AnswerSender(1 << 20), OpenTxns(), []
+    pool = ConnectionPool(deployment(settings()), open_txns, answer_sender, 4)
+    pool.host = Events()
+    client_writer = SimpleNamespace(answer=lambda *arguments: seen_states.append((answer_sender.all_delivered(), dict(open_txns.by_id))))
     open_txns.add(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, client_writer, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
-    send.handle_reply(hop, resp.decode_reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
-    assert seen == [(False, {})] and answer_sender.all_delivered()
+    pool.handle_reply(hop, resp.decode_reply([b"a", b"ACK", b"entity=e", b"x"]), clock())
+    assert seen_states == [(False, {})] and answer_sender.all_delivered()
 
 
-def test_a_withdrawn_txn_is_not_answered_and_the_book_gives_each_away_once():
+def test_an_open_txn_is_settled_or_withdrawn_only_once():
     open_txns = OpenTxns()
     txn = Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"body", 0, 0, None, 1)
     open_txns.add(txn)
@@ -614,118 +621,118 @@
     assert not open_txns.withdraw(5) and open_txns.counts["late"] == 1 and open_txns.counts["completed"] == 1 and not open_txns.body_bytes
 
 
-def test_a_change_of_the_list_may_hold_only_what_has_changed():
-    told = []
-    board = DiscoveryClient(("127.0.0.1", 1), SimpleNamespace(list_received=lambda change, now: told.append(change)), 1)
-    whole = endpoint("c0", "127.0.0.1:5")
-    board.apply_initial_events(
+def test_a_change_of_the_server_list_may_contain_only_the_changed_fields():
+    changes = []
+    discovery = DiscoveryClient(("127.0.0.1", 1), SimpleNamespace(list_received=lambda change, now: changes.append(change)), 1)
+    complete_endpoint = endpoint("c0", "127.0.0.1:5")
+    discovery.apply_initial_events(
         [
-            {"rev": 1, "pool": {"snapshot": True, "endpoints": [whole]}},
+            {"rev": 1, "pool": {"snapshot": True, "endpoints": [complete_endpoint]}},
             {"rev": 2, "pool": {"endpoints": [{"status": "up"}, {"name": "c1", "status": "odd"}, {"name": "c0", "status": "draining"}]}},
         ],
         2,
     )
-    first, second = (change.servers[0] for change in told)
-    assert (second.state, second.zone, second.address) == ("draining", first.zone, first.address) and board.last_number == 2
+    first, second = (change.servers[0] for change in changes)
+    assert (second.state, second.zone, second.address) == ("draining", first.zone, first.address) and discovery.last_number == 2
 
 
-def test_bodies_that_no_memory_is_left_for_are_refused_at_once():
-    here, there = socket.socketpair()
-    site, client_writer = deployment(settings()), ClientWriter(here, encode, AnswerSender(1 << 20))
-    admit = Admission(
-        site, OpenTxns(), SimpleNamespace(queue=(), max_queued=512, txn_arrived=None, recent_lag=0, post=lambda *about: None), 1000
+def test_a_request_whose_body_exceeds_the_memory_for_bodies_is_rejected_at_once():
+    router_sock, client_sock = socket.socketpair()
+    site, client_writer = deployment(settings()), ClientWriter(router_sock, encode, AnswerSender(1 << 20))
+    admission = Admission(
+        site, OpenTxns(), SimpleNamespace(queue=(), max_queued=512, txn_arrived=None, recent_lag=0, post=lambda *event: None), 1000
     )
     for stream in (1, 2):
-        admit.handle_request(
+        admission.handle_request(
             Request(stream, "media", "%016x" % stream, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"x" * 600), client_writer, clock()
         )
-    assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(client_writer.streams) == [1]
+    assert client_sock.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(client_writer.streams) == [1]
 
 
-def test_a_router_that_runs_behind_takes_that_off_the_time_limit_and_then_refuses():
-    here, there = socket.socketpair()
+def test_a_router_that_lags_shortens_time_limits_and_then_rejects():
+    router_sock, client_sock = socket.socketpair()
     route = RouterHost(deployment(settings()), 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(deployment(settings()), None, None, 1))
     route.queue.append((lambda: None, (), clock() - 300_000_000))
     route.process_queue()
-    admit, client_writer = Admission(route.site, route.open_txns, route, 1000), ClientWriter(here, encode, route.answer_sender)
+    admission, client_writer = Admission(route.site, route.open_txns, route, 1000), ClientWriter(router_sock, encode, route.answer_sender)
     request = Request(1, "media", "%016x" % 1, 10**9, None, "0" * 16, 0, 1, 1.0, None, b"")
-    route.lock.acquire()  # another thread is at it, and does not get on
-    admit.handle_request(request, client_writer, 0)
+    route.lock.acquire()  # as if another thread were in the Router and made no progress
+    admission.handle_request(request, client_writer, 0)
     assert 0.6e9 < route.open_txns.by_id[1].limit_at <= 0.675e9
     for _ in range(1000):
         route.post(lambda: None)
-    admit.handle_request(replace(request, stream=2, txn="2" * 16), client_writer, 0)
-    assert there.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(route.open_txns.by_id) == [1]
-
-
-def test_a_cut_at_the_time_limit_does_not_wait_behind_other_events():
-    """Found on sockets: the end of a hop that was cut was posted behind 170 ms of events, and the answer was late."""
-    quiet = Listener()
-    here, there = socket.socketpair()
-    send = sender(quiet.address)
-    route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
-    row = ListedServer("c0", send.endpoints["c0"].address, "east", "std", 0, "up", 50.0, 0)
-    route.list_received(ListChange(True, (row,)), now=True)
-    client_writer = ClientWriter(here, encode, route.answer_sender)
+    admission.handle_request(replace(request, stream=2, txn="2" * 16), client_writer, 0)
+    assert client_sock.recv(100) == b"".join(encode(2, Answer("rejected", 1000))) and list(route.open_txns.by_id) == [1]
+
+
+def test_a_hop_that_reaches_its_time_limit_does_not_wait_behind_queued_events():
+    """Found on sockets: the end of a hop at its time limit was queued behind 170 ms of events, and the answer was late."""
+    silent_server = Listener()
+    router_sock, client_sock = socket.socketpair()
+    pool = sender(silent_server.address)
+    route = RouterHost(pool.site, 1, pool.open_txns, pool.answer_sender, pool)
+    listed_server = ListedServer("c0", pool.endpoints["c0"].address, "east", "std", 0, "up", 50.0, 0)
+    route.list_received(ListChange(True, (listed_server,)), now=True)
+    client_writer = ClientWriter(router_sock, encode, route.answer_sender)
     client_writer.streams[1] = 1
-    now = clock()
-    route.open_txns.add(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", now, now + 100 * MS, client_writer, 1))
+    taken_at = clock()
+    route.open_txns.add(Txn(1, "%016x" % 1, 0, "media", "o", 0, 1, 1.0, None, None, b"", taken_at, taken_at + 100 * MS, client_writer, 1))
     route.post(route.txn_arrived, route.open_txns.by_id[1])
     (hop,) = route.hops.values()
-    left = []
+    queue_lengths = []
 
-    def always():  # something else in the queue
+    def post_again():  # keeps another event in the queue
         if not hop.ended:
-            route.post(always)
-        left.append(len(route.queue))
+            route.post(post_again)
+        queue_lengths.append(len(route.queue))
 
-    route.queue.append((always, (), clock()))
+    route.queue.append((post_again, (), clock()))
     route.process_queue(0)
-    assert hop.ended and not route.open_txns.by_id and left[-2] == 1 and clock() >= now + 100 * MS
-    assert there.recv(100)[9] == 66
+    assert hop.ended and not route.open_txns.by_id and queue_lengths[-2] == 1 and clock() >= taken_at + 100 * MS
+    assert client_sock.recv(100)[9] == 66
 
 
-def test_watching_the_new_shape_answers_as_before_and_counts_where_it_would_differ(run):
-    """Before operators switch to a deployment without notes, they watch: the router decides as told, and counts."""
-    conf = settings()
-    conf["familyInfo"]["says"], conf["shape"] = "none", "watch"
+def test_watching_the_new_shape_answers_as_before_and_counts_differences(run):
+    """Operators can watch before they switch to a deployment without notes: the router still decides by the notes, and counts."""
+    deployment_settings = settings()
+    deployment_settings["familyInfo"]["says"], deployment_settings["shape"] = "none", "watch"
     cache = Cache(lambda want: ("ACK", "entity=e,issued=1", b"bytes"))
-    service = run(cache, settings=conf)
+    service = run(cache, settings=deployment_settings)
     client = service.client()
     for stream in range(1, 4):
         client.ask(stream, drop=("ram",))
         assert client.get()[1:3] == (stream, 79)
     assert service.end() == 0
-    ended = next(line for line in service.lines().splitlines() if "event=ended" in line)
-    assert "shape_noteless=3" in ended
+    ended_line = next(line for line in service.lines().splitlines() if "event=ended" in line)
+    assert "shape_noteless=3" in ended_line
 
 
-def test_the_board_is_caught_up_only_once_it_says_a_last_number_that_the_router_has():
-    """Found on herd+mass: restarted routers were ready on their file's list and named a draining parent 7 ms later."""
-    board = DiscoveryClient(("127.0.0.1", 1), None, 1)
-    board.last_number = 5
+def test_discovery_is_current_only_once_its_last_number_is_one_that_the_router_has():
+    """Found in the scenario herd+mass: restarted routers were ready with the list of their file, and named a draining parent 7 ms later."""
+    discovery = DiscoveryClient(("127.0.0.1", 1), None, 1)
+    discovery.last_number = 5
     with pytest.raises(Gap):
-        board.handle_line(b"7")  # events 6 and 7 are missing
-    assert not board.caught_up.is_set()
-    board.handle_line(b"5")
-    assert board.caught_up.is_set()
+        discovery.handle_line(b"7")  # the router has not got events 6 and 7
+    assert not discovery.caught_up.is_set()
+    discovery.handle_line(b"5")
+    assert discovery.caught_up.is_set()
 
 
-def test_a_connection_that_was_idle_is_not_closed_over_a_request_that_lies_unread():
-    """Found by the laboratory's herd: a router stopped for 6 s closed connections as idle before their readers had a turn; what a
-    client had sent meanwhile was never answered."""
+def test_an_idle_connection_with_an_unread_request_is_not_closed():
+    """Found by the laboratory's scenario herd: a router that was stopped for 6 s closed connections as idle before their readers ran,
+    and did not answer what clients had sent meanwhile."""
     open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
     client_listener = ClientListener(("127.0.0.1", 0), 8, 1 << 20, 1_000_000_000, None, open_txns, None, answer_sender)
-    here, there = socket.socketpair()
-    client = ClientConnection(client_listener, here)
+    router_sock, client_sock = socket.socketpair()
+    client = ClientConnection(client_listener, router_sock)
     client_listener.clients.add(client)
-    client.sent_usable_request, later = True, time.monotonic() + 60
-    there.sendall(b"\0")
-    client_listener.sweep(later)
+    client.sent_usable_request, idle_until = True, time.monotonic() + 60
+    client_sock.sendall(b"\0")
+    client_listener.sweep(idle_until)
     assert not client.client_writer.shut_at and not client_listener.free_descriptor()
-    here.recv(1)  # its reader has had its turn
-    client_listener.sweep(later)
+    router_sock.recv(1)  # what the reader would read
+    client_listener.sweep(idle_until)
     assert client.client_writer.shut_at
-    there.close()
-    here.close()
+    client_sock.close()
+    router_sock.close()
     client_listener.listening_socket.close()
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 from helpers import Cache, Stalled, clock, pause, sender, until
-from test_crossings import stays, taken
+from test_crossings import open_txn_with_hop, staying_client_writer
 from test_mass_crash import dials_wait
 
 from fieldspur.decide import MS
@@ -37,13 +37,13 @@
     monkeypatch.setattr(threading, "excepthook", failed.append)
     cache = Cache(lambda want: None)
     send = sender(cache.address)
-    attempt = taken(send, stays(send), ident=5)
+    attempt = open_txn_with_hop(send, staying_client_writer(send), ident=5)
     dialled = dials_wait(monkeypatch)
     lane = send.enqueue(attempt)
     lane.queue = Emptied(lane.queue)
     dialled.set()
     until(lambda: lane.connected and lane.queue.emptied)
-    send.enqueue(taken(send, stays(send), ident=6)).write_queued()
+    send.enqueue(open_txn_with_hop(send, staying_client_writer(send), ident=6)).write_queued()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
     assert not failed and contained_errors.log_fields().get("contained_write") == before  # contained is not mended
 
@@ -90,7 +90,7 @@
     """Else the first of them goes out by what was right before that wait, its deadline too large by it."""
     cache, order = Cache(lambda want: None), []
     send = sender(cache.address)
-    attempts = [taken(send, stays(send), ident=ident, before_ms=50) for ident in (5, 6)]
+    attempts = [open_txn_with_hop(send, staying_client_writer(send), ident=ident, taken_ms_ago=50) for ident in (5, 6)]
     dialled = dials_wait(monkeypatch)
     for attempt in attempts:
         attempt.cut_at = clock() + 3000 * MS
@@ -141,7 +141,7 @@
 def test_an_attempt_given_up_as_the_word_of_an_earlier_one_is_out_still_waits_for_its_own():
     """Both are kept by the request's number: taking out the earlier one must not take out what came in its place."""
     send = sender(Cache(lambda want: None).address)
-    first = taken(send, stays(send))
+    first = open_txn_with_hop(send, staying_client_writer(send))
     second = replace(first, number=1)
     lane = send.enqueue(second)
     lane.write_queued()
