--- a/fieldspur/net/invariants.py
+++ b/fieldspur/net/invariants.py
@@ -1,5 +1,7 @@
-"""What must hold: asserted in debug builds, counted and logged in release builds. And errors that nobody foresaw: contained to what they
-happened in, counted and logged with their trace (`docs/design/containment.md`)."""
+"""Invariants and contained errors.
+
+A violated invariant is asserted in debug builds, and counted and logged in release builds. An unforeseen error is contained: it costs
+only the work in which it occurred, and it is counted and logged with its trace (`docs/design/containment.md`)."""
 
 from __future__ import annotations
 
@@ -12,21 +14,21 @@
 from fieldspur.net.logs import error_fields
 from fieldspur.permissions import may_try_again
 
-TYPE_CHECKING = False  # as typing has it, which a start does not load
+TYPE_CHECKING = False  # defined here as in `typing`, which is not loaded at a start
 if TYPE_CHECKING:
     from typing import TypeVar
 
     Result = TypeVar("Result")
 
 log = logging.getLogger("fieldspur.holds")
-violation_counts: dict[str, int] = {}  # how often each has failed, by name
-RESTART_PAUSE_S = 0.05  # until a thread that the program can't do without goes on after an error
-MAX_CONSECUTIVE_ERRORS = 100  # errors of such a thread, each within STEADY_S of the one before; then it is the program's end
-CONSECUTIVE_WITHIN_S = 1.0
+violation_counts: dict[str, int] = {}  # how often each invariant was violated, by its description
+RESTART_PAUSE_S = 0.05  # pause before `keep_running` restarts its work after an error
+MAX_CONSECUTIVE_ERRORS = 100  # after that many, `keep_running` raises the error, which ends the program
+CONSECUTIVE_WITHIN_S = 1.0  # two errors of `keep_running` closer than this count as consecutive
 
 
 def check_invariant(true, what: str, **about) -> bool:
-    """Returns whether it held, so that a release build can go on without it."""
+    """Returns whether the invariant holds, so that a release build can continue after a violation."""
     if true:
         return True
     assert False, f"{what}: {about}"
@@ -36,19 +38,21 @@
 
 
 class ContainedErrors:
-    """Counts unforeseen errors by where they were contained: "event", "connection", "client", "write", "answer", or a thread's name."""
+    """Counts unforeseen errors by the place where they were contained: "event", "connection", "client", "write", "answer", or the name
+    of a thread."""
 
     def __init__(self):
         self.lock = threading.Lock()
-        self.by_place: dict[str, int] = {}
+        self.count_by_place: dict[str, int] = {}
 
     def record(self, place: str, **about) -> None:
-        """Called while the error is handled. What must hold is not contained: it is raised on, where it is asserted at all."""
+        """Counts and logs the error that is being handled. The AssertionError of a violated invariant is not contained but raised
+        again; it occurs only in builds with assertions."""
         error_type, error, trace = sys.exc_info()
         if isinstance(error, AssertionError):
             raise error
         with self.lock:
-            self.by_place[place] = self.by_place.get(place, 0) + 1
+            self.count_by_place[place] = self.count_by_place.get(place, 0) + 1
         log.critical(
             "contained",
             exc_info=(error_type, error, trace),
@@ -56,40 +60,40 @@
         )
 
     def log_fields(self) -> dict[str, int]:
-        """How often, as keys of a log line."""
+        """Returns the counts as fields of a log line."""
         with self.lock:
-            return {f"contained_{place}": count for place, count in self.by_place.items()}
+            return {f"contained_{place}": count for place, count in self.count_by_place.items()}
 
 
 contained_errors = ContainedErrors()
 
 
 def retry_while_exhausted(call: Callable[[], Result], failures: type[Exception] | tuple[type[Exception], ...], pause_s: float) -> Result:
-    """What `call` gives. Where it fails for want of room in the system, it is called again for a while: raises the error of one that
-    goes on, and any other at once. `failures` have an `errno`."""
+    """Returns the result of `call`, and calls it again for a while when it fails because the system has no resources left (descriptors,
+    memory). Raises the last error if the shortage lasts, and any other error at once. Errors of the types in `failures` have an `errno`."""
     began = time.monotonic()
     while True:
         try:
             return call()
-        except failures as wrong:
-            if not may_try_again(wrong.errno, time.monotonic() - began):
+        except failures as error:
+            if not may_try_again(error.errno, time.monotonic() - began):
                 raise
-            log.warning("no_room", extra={"kv": {"why": str(wrong)}})
+            log.warning("no_room", extra={"kv": {"why": str(error)}})
         time.sleep(pause_s)
 
 
 def keep_running(name: str, run: Callable[[], None]) -> None:
-    """Runs what the program can't do without, a thread's whole work, again after each unforeseen error. Raises the error of one that goes
-    on and on: a program that looks alive and does not do its work is worse than none."""
-    in_a_row, failed_at = 0, 0.0
+    """Runs the whole work of a thread that the program needs, and restarts it after each unforeseen error. If the errors go on and on,
+    raises the last one: a program that looks alive but does not do its work is worse than a program that has ended."""
+    consecutive_errors, failed_at = 0, 0.0
     while True:
         try:
             return run()
         except Exception:
             now = time.monotonic()
-            in_a_row = in_a_row + 1 if now - failed_at < CONSECUTIVE_WITHIN_S else 1
+            consecutive_errors = consecutive_errors + 1 if now - failed_at < CONSECUTIVE_WITHIN_S else 1
             failed_at = now
-            if in_a_row >= MAX_CONSECUTIVE_ERRORS:
+            if consecutive_errors >= MAX_CONSECUTIVE_ERRORS:
                 raise
             contained_errors.record(name)
         time.sleep(RESTART_PAUSE_S)
--- a/fieldspur/net/nonblocking.py
+++ b/fieldspur/net/nonblocking.py
@@ -1,5 +1,7 @@
-"""Looks and writes that cannot wait. A write keeps the interpreter, for giving it up costs more than the write: two futex calls and, with
-others waiting, a turn of theirs before this thread goes on."""
+"""Socket polls and writes that never wait.
+
+A write keeps the interpreter lock, because releasing it costs more than the write itself: two futex calls and, if other threads
+wait for the lock, their turn before this thread continues."""
 
 from __future__ import annotations
 
@@ -10,55 +12,57 @@
 import sys
 import time
 
-# The program's clock is `time.monotonic_ns() + EPOCH`: Unix ns as the system had them at the start, which nobody sets. Guards against an
-# operator, or a time server, that sets the clock by minutes: back, timers would not come for as long; forth, all would come at once. It
-# is written out where it is read, for a function of its own would be a tenth of a txn's calls.
+# The program's clock is `time.monotonic_ns() + MONOTONIC_TO_UNIX_NS`: Unix time (ns) as the system had it at the start, which nobody can
+# set afterwards. This guards against an operator or a time server that steps the system clock by minutes: after a step back no timer
+# would fire for that long, after a step forward all timers would fire at once. The sum is written out at each use, because a function
+# for it would be a tenth of all calls that a txn costs.
 MONOTONIC_TO_UNIX_NS = time.time_ns() - time.monotonic_ns()
-FLAGS = socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL
-LONGEST_LAY = 60_000_000_000  # ns
-PEER_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # the peer has closed or reset its side
+SEND_FLAGS = socket.MSG_DONTWAIT | socket.MSG_NOSIGNAL
+MAX_IDLE_NS = 60_000_000_000  # a longer idle time reported by the system is not believed
+PEER_CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # poll events: the peer has closed or reset its side
 
 
 def latest_possible_time(stamp: int, now: int, live: bool, ahead: int = 0) -> int:
-    """When something that another machine stamped with its Unix time (ns) happened, by the program's clock, at the latest.
-
-    What was told while this process watched (`live`) had not happened long before, and is taken to have happened as it was told: no wall
-    clock enters, for this machine's and the other's may have been set meanwhile, by seconds or an hour. What a file held at the start may
-    be as old as its stamp says, by the wall clock as it stood then. What may be told `ahead` of its time by so much is taken at its word
-    there; nothing else is in the future. A purge that is taken to be younger than it is, and a server that is taken to have started later
-    than it did, cost a little; the other way round breaks a promise."""
+    """Returns the latest time, by the program's clock, at which an event can have happened that another machine stamped with `stamp`
+    (its Unix time in ns).
+
+    An event that was received while this process watched (`live`) happened shortly before, and counts as happening when it was
+    received. The stamp is not used in that case, because either machine's wall clock may have been set meanwhile, by seconds or by an
+    hour. An event from a file read at the start may be as old as its stamp says, by the wall clock at that time. An event may be
+    announced up to `ahead` ns before it happens; such a stamp is used as it is, and no other event is placed in the future. Taking a
+    purge for younger than it is, or a server's start for later than it was, costs little; the opposite error breaks a guarantee."""
     if now < stamp <= now + ahead:
         return stamp
     return now if live else min(stamp, now)
 
 
 def receive_poll(sock: socket.socket) -> select.poll:
-    """To look whether bytes or the peer's end lie in a socket. For one thread at a time: the system's object refuses a look during
-    another's, with an error that would end the program."""
+    """Returns a poll object that reports received bytes and the peer's close. Only one thread may use it at a time: while another
+    thread polls, the system's object raises an error, which would end the program."""
     poll = select.poll()
     poll.register(sock, select.POLLIN | select.POLLRDHUP)
     return poll
 
 
 def time_since_last_data(sock: socket.socket) -> int:
-    """For how long (ns, to some ms) what the peer sent last has lain in a TCP connection's socket, as the system counts
-    (`tcpi_last_data_recv` of TCP_INFO); 0 where it does not tell, or tells what can't be."""
+    """Returns the time (ns, exact to some ms) since the system last received data on a TCP connection (`tcpi_last_data_recv` of
+    TCP_INFO), or 0 if the system does not report it or reports an impossible value."""
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 56)
+        tcp_info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 56)
     except (OSError, AttributeError):
         return 0
-    lay = int.from_bytes(told[52:56], sys.byteorder) * 1_000_000 if len(told) == 56 else 0
-    return lay if lay < LONGEST_LAY else 0
+    idle_ns = int.from_bytes(tcp_info[52:56], sys.byteorder) * 1_000_000 if len(tcp_info) == 56 else 0
+    return idle_ns if idle_ns < MAX_IDLE_NS else 0
 
 
 def bytes_received(sock: socket.socket) -> int | None:
-    """How many bytes the peer of a TCP connection has sent, as the system counts (`tcpi_bytes_received` of tcp(7)'s TCP_INFO; the
-    peer's end counts as one); None where it does not tell."""
+    """Returns how many bytes the peer of a TCP connection has sent so far (`tcpi_bytes_received` of TCP_INFO, see tcp(7); the peer's
+    close counts as one byte), or None if the system does not report it."""
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136)
+        tcp_info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 136)
     except (OSError, AttributeError):
         return None
-    return int.from_bytes(told[128:136], sys.byteorder) if len(told) == 136 else None
+    return int.from_bytes(tcp_info[128:136], sys.byteorder) if len(tcp_info) == 136 else None
 
 
 try:
@@ -66,37 +70,37 @@
 
     libc_send = ctypes.PyDLL(None, use_errno=True).send
     libc_send.argtypes, libc_send.restype = (ctypes.c_int, ctypes.c_char_p, ctypes.c_size_t, ctypes.c_int), ctypes.c_ssize_t
-except (ImportError, OSError, AttributeError):  # no such library on this system
+except (ImportError, OSError, AttributeError):  # this system has no such library
     libc_send = None
 
 
 def send_nonblocking(sock: socket.socket, data: bytes) -> int:
-    """How many bytes the socket took at once; 0 where it takes none. Raises OSError as `socket.send` does."""
+    """Returns how many bytes the socket accepted at once, possibly 0. Raises OSError like `socket.send`."""
     if libc_send is not None:
-        sent = libc_send(sock.fileno(), data, len(data), FLAGS)
+        sent = libc_send(sock.fileno(), data, len(data), SEND_FLAGS)
         if sent >= 0:
             return sent
-        wrong = ctypes.get_errno()
-        if wrong in (errno.EAGAIN, errno.EWOULDBLOCK):
+        error_number = ctypes.get_errno()
+        if error_number in (errno.EAGAIN, errno.EWOULDBLOCK):
             return 0
-        if wrong != errno.EINTR:
-            raise OSError(wrong, os.strerror(wrong))
+        if error_number != errno.EINTR:
+            raise OSError(error_number, os.strerror(error_number))
     try:
-        return sock.send(data, FLAGS)
+        return sock.send(data, SEND_FLAGS)
     except BlockingIOError:
         return 0
 
 
 def write_nonblocking(sock: socket.socket, data: tuple | list) -> list | tuple:
-    """Writes buffers as far as the socket takes them at once, long ones without joining them; what is left of them."""
+    """Writes as much of the buffers as the socket accepts at once, without joining long ones, and returns the unwritten rest."""
     if len(data) == 1 and type(data[0]) is bytes:
-        if libc_send is None or (sent := libc_send(sock.fileno(), data[0], len(data[0]), FLAGS)) < 0:
+        if libc_send is None or (sent := libc_send(sock.fileno(), data[0], len(data[0]), SEND_FLAGS)) < 0:
             sent = send_nonblocking(sock, data[0])
         if sent == len(data[0]):
             return ()
     else:
         try:
-            sent = sock.sendmsg(data, (), FLAGS)
+            sent = sock.sendmsg(data, (), SEND_FLAGS)
         except BlockingIOError:
             sent = 0
     data = list(data)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -29,7 +29,7 @@
 from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.net.router_host import RouterHost
 from fieldspur.net.server_connection import Hop
-from fieldspur.net.timer_wheel import NEVER, SHIFT, TimerWheel
+from fieldspur.net.timer_wheel import NEVER, SLOT_SHIFT, TimerWheel
 from fieldspur.record import made, record, replace
 from fieldspur.site import MS, deployment
 
@@ -40,7 +40,7 @@
 
 
 @tries(deadline=None, derandomize=True)
-@given(st.lists(st.tuples(st.sampled_from("aacd"), st.integers(0, 40 << SHIFT)), max_size=60))
+@given(st.lists(st.tuples(st.sampled_from("aacd"), st.integers(0, 40 << SLOT_SHIFT)), max_size=60))
 def test_a_wheel_gives_what_a_sorted_list_gives(steps):
     wheel, plain, now_at = TimerWheel(), {}, 0
     for n, (what, value) in enumerate(steps):
