--- a/fieldspur/fleet/consensus.py
+++ b/fieldspur/fleet/consensus.py
@@ -115,20 +115,20 @@
     then, once the registers of that majority contain this incarnation, what it may have promised. Where all members are blank, it
     waits until an operator founds the fleet."""
     members, others = len(views), [view for view in views if view is not None and view.member != me.member]
-    known = [other for other in others if has_read_this_process(me, other)]
-    if len(known) == members - 1 and not me.back:
-        nonces = process_nonces([me, *known])
-        if all(register.founding == nonces for register in (me, *known)):
+    readers = [other for other in others if has_read_this_process(me, other)]
+    if len(readers) == members - 1 and not me.back:
+        nonces = process_nonces([me, *readers])
+        if all(register.founding == nonces for register in (me, *readers)):
             return me._replace(life=1, lives=(1,) * members)
         if me.founding != nonces:
-            is_founding = any(other.founding == nonces for other in known) and not any(other.life or other.back for other in known)
+            is_founding = any(other.founding == nonces for other in readers) and not any(other.life or other.back for other in readers)
             me = me._replace(founding=nonces if is_founding else ())
-    alive = [other for other in known if other.life]
-    if len(alive) < majority(members) or not may_rejoin:
+    with_memory = [other for other in readers if other.life]
+    if len(with_memory) < majority(members) or not may_rejoin:
         return me
     if not me.back:
-        return me._replace(back=max(other.lives[me.member] for other in alive) + 1)
-    informed = current_incarnations([other for other in alive if other.seen[me.member] == (me.nonce, me.back)])
+        return me._replace(back=max(other.lives[me.member] for other in with_memory) + 1)
+    informed = current_incarnations([other for other in with_memory if other.seen[me.member] == (me.nonce, me.back)])
     if len(informed) < majority(members):
         return me
     lives = [max(other.lives[member] for other in informed) for member in range(members)]
@@ -179,8 +179,8 @@
     if not leads(me, views):
         return me
     if me.said.stamp[:2] != me.asked:
-        last = max((view.accepted for view in promising_registers(views, me.asked)), key=lambda stamped: stamped.stamp)
-        value = last.value if last.stamp != NO_STAMP else successor(None)
+        last_accepted = max((view.accepted for view in promising_registers(views, me.asked)), key=lambda stamped: stamped.stamp)
+        value = last_accepted.value if last_accepted.stamp != NO_STAMP else successor(None)
         if value is None:
             return me
         proposal = StampedValue((*me.asked, 0), value)
--- a/fieldspur/fleet/failure_detector.py
+++ b/fieldspur/fleet/failure_detector.py
@@ -56,9 +56,9 @@
     """Watches all other members: voting members by number, followers by name. A member's lines are `expected_interval` ns apart;
     `check_standstill` is called every `poll_interval` ns."""
 
-    def __init__(self, own: int, members: int, now: int, expected_interval: int, poll_interval: int):
-        self.own, self.poll_interval, self.last_poll_at, self.expected_interval = own, poll_interval, now, expected_interval
-        self.histories: dict = {n: IntervalHistory(now, expected_interval) for n in range(members) if n != own}
+    def __init__(self, own_number: int, members: int, now: int, expected_interval: int, poll_interval: int):
+        self.own_number, self.poll_interval, self.last_poll_at, self.expected_interval = own_number, poll_interval, now, expected_interval
+        self.histories: dict = {n: IntervalHistory(now, expected_interval) for n in range(members) if n != own_number}
 
     def check_standstill(self, now: int) -> int:
         """To be called every `poll_interval` ns. Returns for how long this process was stopped since the last call; this time does not
@@ -76,7 +76,7 @@
         self.histories[member].record_line(nonce, now)
 
     def phi(self, member, now: int) -> float:
-        return 0.0 if member == self.own else self.histories[member].phi(now)
+        return 0.0 if member == self.own_number else self.histories[member].phi(now)
 
     def is_suspected(self, member, now: int) -> bool:
         return self.phi(member, now) >= SUSPECT_PHI
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -34,8 +34,12 @@
     recent as any document that was decided. Otherwise a process without memory could read a member that lags behind, although its
     previous incarnation had reported a later document: the coordinator relies on that report, and could withdraw a machine that
     this process would still use."""
-    alive = [view for view in views if view is not None and view.life]
-    return len(alive) >= consensus.majority(len(views)) or bool(alive) and all(view is not None for n, view in enumerate(views) if n != me)
+    with_memory = [view for view in views if view is not None and view.life]
+    return (
+        len(with_memory) >= consensus.majority(len(views))
+        or bool(with_memory)
+        and all(view is not None for n, view in enumerate(views) if n != me)
+    )
 
 
 def possibly_decided(views: list) -> list:
@@ -44,22 +48,24 @@
 
 
 class Member:
-    """`register` is the stored one, or a blank one. `length` ns is the length of a lease; it is the same at all members of `fleet`."""
+    """A voting member. `register` is the stored one, or a blank one. `lease_length` is in ns and the same at all members of `fleet`."""
 
-    def __init__(self, fleet: str, register: Register, members: int, now: int, length: int, seed: int, lost_memory: bool, coordinator=None):
+    def __init__(
+        self, fleet: str, register: Register, members: int, now: int, lease_length: int, seed: int, lost_memory: bool, coordinator=None
+    ):
         """`coordinator` provides what this member reports to the others, and the value that follows an agreed value. Without a
         coordinator this member reports nothing and proposes no value."""
         self.fleet, self.register, self.me, self.coordinator = fleet, register, register.member, coordinator
-        self.beat, self.random = length // BEATS_PER_LEASE, random.Random(seed)  # beat: ns between two ticks
+        self.beat, self.random = lease_length // BEATS_PER_LEASE, random.Random(seed)  # beat: ns between two ticks
         self.views: list = [None] * members  # by member: its last register
         self.decoded: list = [(None, None)] * members  # by member: its last register as JSON value and decoded
         self.acks: list = [None] * members  # by member: the tick that it acknowledged
         self.ticks: list = [(NO_BALLOT, 0)] * members  # by member: the ballot and tick that it published as holder
         self.now = now
-        self.lease = Lease(self.me, length, started_at=now, lost_memory=lost_memory)
+        self.lease = Lease(self.me, lease_length, started_at=now, lost_memory=lost_memory)
         self.failure_detector = FailureDetector(self.me, members, now, self.beat, self.beat // 4)
         self.last_tick_at = 0
-        self.request_ballot_at = now + length  # not earlier
+        self.request_ballot_at = now + lease_length  # the earliest time for a ballot of its own
         self.fenced = False
 
     def restore(self, stored: Register, now: int) -> None:
@@ -134,7 +140,7 @@
 
     def advance(self, now: int) -> None:
         """Updates the register, the lease and the known document from what was read."""
-        before, self.now = self.register, now
+        register_before, self.now = self.register, now
         if consensus.is_fenced(self.register, self.all_views()):
             self.fenced = True
             return
@@ -144,13 +150,13 @@
                 self.lease.acknowledge(ballot, tick, now)
         for _ in range(2):
             proposed = consensus.propose(self.register, self.all_views(), self.successor)
-            if proposed is self.register:  # no proposal of its own, so no step is needed; so it is at all members but the holder
+            if proposed is self.register:  # no new proposal, so no step is needed; only the holder of the lease proposes
                 break
             self.register = proposed
             self.step(now)
-        if self.coordinator is not None:  # with memory only what is stored counts: others may rely on what this member reported
+        if self.coordinator is not None:  # a member with memory uses only what it also stores, because others may rely on what it reports
             self.coordinator.update_document((self.register.decided if self.register.life else self.latest_decided()).value)
-        if before.promised != self.register.promised:
+        if register_before.promised != self.register.promised:
             self.request_ballot_at = now + self.random_delay()
 
     def successor(self, value: Any) -> Any:
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -1,6 +1,6 @@
-"""The sockets and threads of a fleet member. It publishes this member's line with the protocol of the discovery service (`watch N`;
-numbered JSON events, a bare number each second) and reads the lines of the others with the discovery client. Each line contains the
-full state, so the next line makes up for a missed one."""
+"""The sockets and threads of a fleet member. It publishes this member's line with the protocol of the discovery service: a reader
+sends `watch N` and gets numbered JSON events, or only the last number once a second while nothing changes. The lines of the
+others are read with the discovery client. Each line contains the full state, so the next line makes up for a missed one."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 from fieldspur.record import replace
 
 log = logging.getLogger("fieldspur.fleet")
-MAX_LINE_INTERVAL_S = 1.0  # a bare number is sent if nothing changed for this long, or for a beat if that is shorter
-MIN_POLL_INTERVAL_S = 0.02  # changes within it are published as one line
-MAX_REQUEST_BYTES = 64  # of what a reader may send: `watch N`
-SPARE_READERS = 64  # beyond four connections of each member: operators, and closed connections that are not detected yet
-SEND_TIMEOUT_S = 2.0  # a reader that does not take a line within it is disconnected
+MAX_LINE_INTERVAL_S = 1.0  # readers get at least the number of the last line this often, or once a beat if that is shorter
+MIN_POLL_INTERVAL_S = 0.02  # the member is not polled more often, so that changes within it are published as one line
+MAX_REQUEST_BYTES = 64  # a reader may not send more; its only request is `watch N`
+SPARE_READERS = 64  # allowed besides four connections of each member: operators, and closed connections not yet detected
+SEND_TIMEOUT_S = 2.0  # a reader that does not receive a line within this time is disconnected
 NO_COORDINATOR_LEASES = 5  # after this many lease lengths without a coordinator a warning is logged
-LOAD_POLL_S = 1.0  # between two reads of the loads that the Router sees
-LOAD_POLL_WARMING_S = 0.3  # the same while a machine warms up
+LOAD_POLL_S = 1.0  # how often the loads of the servers are read from the Router
+LOAD_POLL_WARMING_S = 0.3  # how often the loads are read while a machine is in slow start after its maintenance
 
 
 def boottime_ns() -> int:
@@ -41,18 +41,18 @@
 
 
 class Peer(DiscoveryClient):
-    """Reads the lines of one other member with the discovery client. `number` is the index of a voting member or the name of a
+    """Reads the lines of one other member with the discovery client. `member_id` is the index of a voting member or the name of a
     follower."""
 
-    def __init__(self, transport: Transport, number: int | str, where: tuple[str, int], seed: int):
+    def __init__(self, transport: Transport, member_id: int | str, where: tuple[str, int], seed: int):
         super().__init__(where, self, seed)
-        self.transport, self.number, self.bad_line_count = transport, number, 0
-        self.name = number if isinstance(number, str) else transport.voter_names[number]
+        self.transport, self.member_id, self.bad_line_count = transport, member_id, 0
+        self.name = member_id if isinstance(member_id, str) else transport.voter_names[member_id]
         self.enabled = threading.Event()  # set while the lines of this member are to be read
         self.removed = False
 
     def start_batch(self) -> None:
-        """Does nothing: each line is handled as soon as it arrives."""
+        """Does nothing, like `finish_batch`: each line is handled as soon as it arrives."""
 
     def finish_batch(self) -> None:
         pass
@@ -61,7 +61,7 @@
         log.warning("lost", extra={"kv": {"member": self.name, "why": reason}})
 
     def set_enabled(self, enabled: bool) -> None:
-        """Starts or stops reading. Followers are read only by the coordinator."""
+        """Starts or stops reading this member. Only the coordinator reads followers."""
         if enabled and not self.enabled.is_set():
             self.enabled.set()
         elif not enabled and self.enabled.is_set():
@@ -85,35 +85,35 @@
         if isinstance(value, dict) and ("register" in value or "follower" in value):
             self.last_number = value.get("rev") if type(value.get("rev")) is int else self.last_number
             try:
-                self.transport.receive_line(self.number, value)
+                self.transport.receive_line(self.member_id, value)
             except register_codec.BadLine as error:  # reading goes on: the member may be of another version or fleet
                 self.bad_line_count += 1
                 if self.bad_line_count in (1, 10, 100, 1000):
                     log.error("unusable", extra={"kv": {"member": self.name, "why": str(error), "times": self.bad_line_count}})
         elif type(value) is int:
-            self.transport.receive_heartbeat(self.number)
+            self.transport.receive_heartbeat(self.member_id)
 
 
 class Transport:
-    """A member or follower with its threads. `overlay` hides machines that are withdrawn from routing from the router. Raises
+    """A voting member or a follower, with its threads. `overlay` keeps the router from using machines that are withdrawn. Raises
     StoreFailed if the folder can't be used, OSError if the address can't be listened on."""
 
     def __init__(self, settings: Fleet, own_name: str, seed: int, overlay: ServerListOverlay):
         self.voter_names = sorted(settings.votes or settings.members)
         self.settings, self.own_name, self.seed, self.overlay = settings, own_name, seed, overlay
-        voters, lease_length = len(self.voter_names), int(settings.lease_s * 1e9)
+        voter_count, lease_length = len(self.voter_names), int(settings.lease_s * 1e9)
         nonce = int.from_bytes(os.urandom(6), "big") + 1
         is_voter = own_name in self.voter_names
         own_number = self.voter_names.index(own_name) if is_voter else 0
         self.store = (
-            RegisterStore(settings.folder, settings.name if is_voter else f"{settings.name}, followed", own_number, voters)
+            RegisterStore(settings.folder, settings.name if is_voter else f"{settings.name}, followed", own_number, voter_count)
             if settings.folder
             else None
         )
         self.unreadable_reason = ""  # why the store can't be read yet: until it can, this member does not know what it has promised
         stored = self.load_at_start()
         site, bounds = overlay.site, settings.bounds
-        longest = max((rule.limit for rule in site.rules), default=0)
+        max_time_limit = max((rule.limit for rule in site.rules), default=0)
         self.coordinator = Coordinator(
             self.voter_names,
             own_name,
@@ -121,18 +121,25 @@
             lease_length,
             planner.Bounds(bounds.zone, bounds.all, bounds.both, bounds.headroom, bounds.fills_s, bounds.parents, bounds.at_once),
             settings.unsure == "turn_away",
-            longest,
+            max_time_limit,
             max(site.fleet["cache_cold"][1], site.fleet["parent_cold"][1]),
         )
         self.coordinator.requests, self.coordinator.left_members = parse_requests(settings.work, "fleet.work"), list(settings.left)
         if is_voter:
-            register = consensus.resume(stored, nonce) if stored is not None else consensus.blank_register(own_number, voters, nonce)
-            self.member = Member(settings.name, register, voters, boottime_ns(), lease_length, seed, stored is None, self.coordinator)
+            register = consensus.resume(stored, nonce) if stored is not None else consensus.blank_register(own_number, voter_count, nonce)
+            self.member = Member(settings.name, register, voter_count, boottime_ns(), lease_length, seed, stored is None, self.coordinator)
             self.coordinator.update_document(register.decided.value)
             stored = register if stored is not None else None  # as this process resumed it: a failed write falls back to this register
         else:
             self.member = Follower(
-                settings.name, own_name, nonce, voters, boottime_ns(), lease_length, self.coordinator, stored.decided if stored else None
+                settings.name,
+                own_name,
+                nonce,
+                voter_count,
+                boottime_ns(),
+                lease_length,
+                self.coordinator,
+                stored.decided if stored else None,
             )
         self.is_voter = is_voter
         self.line_interval = min(MAX_LINE_INTERVAL_S, self.member.beat / 1e9)
@@ -142,21 +149,22 @@
             False,
             stored.life if is_voter and stored else 0,
         )
-        self.rev, self.data, self.last_line = 0, b"", {}  # number, bytes and content of the line that was published last
-        self.state_known = threading.Event()  # set once this member knows which machines are withdrawn, or that there is no fleet yet
-        self.lease_only, self.logged_document = frozenset(), work_orders.EMPTY_DOCUMENT  # machines that need the list lease; the document
+        self.rev, self.data, self.last_line = 0, b"", {}  # of the line published last: its number, bytes and content
+        self.state_known = threading.Event()  # set once it is known which machines are withdrawn, or that there is no fleet yet
+        # Machines that may be used only under the list lease, and the work document that was logged last.
+        self.lease_only, self.logged_document = frozenset(), work_orders.EMPTY_DOCUMENT
         self.no_coordinator_since, self.no_coordinator_logged = 0, False
         self.apply_lock = threading.Lock()
         self.member_lock = threading.Lock()
         self.line_changed = threading.Condition()
-        self.readers = 0
+        self.reader_count = 0
         self.listener = socket.create_server(member(settings.members[own_name])[0], backlog=min(512, len(settings.members)))
         self.peers = [
             Peer(self, n, member(settings.members[name])[0], seed + n) for n, name in enumerate(self.voter_names) if name != own_name
         ]
         for peer in self.peers:
             peer.set_enabled(True)
-        self.followers: dict[str, Peer] = {}  # read while this member is the coordinator
+        self.follower_peers: dict[str, Peer] = {}  # read while this member is the coordinator
         overlay.set_usage_check(self.may_be_out)
         self.apply_document()
         log.info(
@@ -221,32 +229,32 @@
             self.stored, self.unreadable_reason, self.store_failed = stored, "", False
         log.info("read", extra={"kv": {"memory": stored is not None}})
 
-    # Calls of the member, one at a time.
+    # The member; `member_lock` admits one thread at a time.
 
-    def receive_line(self, number: int | str, value: dict) -> None:
+    def receive_line(self, member_id: int | str, value: dict) -> None:
         with self.member_lock:
             number_before = self.coordinator.document.number
-            if isinstance(number, str):
-                self.member.receive_follower_line(number, value, boottime_ns())
+            if isinstance(member_id, str):
+                self.member.receive_follower_line(member_id, value, boottime_ns())
             else:
-                self.member.receive_line(number, value, boottime_ns())
+                self.member.receive_line(member_id, value, boottime_ns())
             self.save()
             is_new_document = self.coordinator.document.number != number_before
         if is_new_document:
             self.apply_document()
             self.publish()
 
-    def receive_heartbeat(self, number: int | str) -> None:
-        """A bare number arrived: the member is alive and has nothing new."""
+    def receive_heartbeat(self, member_id: int | str) -> None:
+        """Handles a line that is only a number: the member is alive, and its content has not changed."""
         with self.member_lock:
-            self.member.receive_heartbeat(number, boottime_ns())
+            self.member.receive_heartbeat(member_id, boottime_ns())
 
     def run(self) -> None:
-        loads_polled_at, fenced = 0.0, False
+        loads_polled_at, fence_logged = 0.0, False
         while True:
             time.sleep(max(MIN_POLL_INTERVAL_S, self.member.beat / 4e9))
-            if self.member.fenced != fenced:  # it publishes nothing more, and uses the list it knew until its list lease has ended
-                fenced = True
+            if self.member.fenced != fence_logged:  # it publishes nothing more, and uses its list until its list lease ends
+                fence_logged = True
                 log.error("fenced", extra={"kv": {"why": "a later process of this name is a member; this one takes part no more"}})
             if self.unreadable_reason:
                 self.retry_load()
@@ -296,18 +304,18 @@
     def read_followers(self, enabled: bool) -> None:
         members = self.settings.members
         wanted = {name for name in members if name not in self.voter_names and name != self.own_name}
-        for name in set(self.followers) - wanted:
-            self.followers.pop(name).remove()
+        for name in set(self.follower_peers) - wanted:
+            self.follower_peers.pop(name).remove()
             with self.member_lock:
                 self.member.failure_detector.forget(name)
-        for n, name in enumerate(sorted(wanted - set(self.followers)) if enabled else ()):
-            peer = self.followers[name] = Peer(self, name, member(members[name])[0], self.seed + len(self.voter_names) + n)
+        for n, name in enumerate(sorted(wanted - set(self.follower_peers)) if enabled else ()):
+            peer = self.follower_peers[name] = Peer(self, name, member(members[name])[0], self.seed + len(self.voter_names) + n)
             threading.Thread(target=keep_running, args=(f"fleet-{name}", peer.run), name=f"fleet-{name}", daemon=True).start()
-        for peer in self.followers.values():
+        for peer in self.follower_peers.values():
             peer.set_enabled(enabled)
 
-    def update_loads(self, loads: dict, turned: tuple) -> None:
-        self.coordinator.loads, self.coordinator.rejected_rates, self.coordinator.fresh_loads = loads, turned, True
+    def update_loads(self, loads: dict, rejected_rates: tuple) -> None:
+        self.coordinator.loads, self.coordinator.rejected_rates, self.coordinator.fresh_loads = loads, rejected_rates, True
 
     # Machines that are withdrawn from routing.
 
@@ -316,16 +324,16 @@
         with self.apply_lock:
             with self.member_lock:
                 now = boottime_ns()
-                document, off, backs = self.coordinator.document, self.coordinator.withdrawn(now), self.coordinator.returning()
-                doubt, is_up_to_date = self.coordinator.list_unknown(now), self.member.is_up_to_date()
+                document, withdrawn, returning = self.coordinator.document, self.coordinator.withdrawn(now), self.coordinator.returning()
+                list_unknown, is_up_to_date = self.coordinator.list_unknown(now), self.member.is_up_to_date()
             self.lease_only = self.coordinator.announced()
-            self.overlay.withdraw(off, backs)
-            open_at = self.overlay.count_open_hops(sorted(self.lease_only))
+            self.overlay.withdraw(withdrawn, returning)
+            open_hops = self.overlay.count_open_hops(sorted(self.lease_only))
             with self.member_lock:
                 if not self.store_failed:  # what is not on disk must not be reported: after a crash this member would not know it
-                    self.coordinator.mark_applied(document.number, open_at)
+                    self.coordinator.mark_applied(document.number, open_hops)
             if self.coordinator.strict:
-                self.overlay.reject_all(doubt)
+                self.overlay.reject_all(list_unknown)
             if is_up_to_date:
                 self.state_known.set()
             self.log_changes(document)
@@ -341,10 +349,10 @@
 
     def log_changes(self, document: work_orders.WorkDocument) -> None:
         """Logs each work order that changed its state since the document that was logged last."""
-        before, self.logged_document = self.logged_document, document
-        if document is before:
+        previous, self.logged_document = self.logged_document, document
+        if document is previous:
             return
-        old_orders = {order.ident: order for order in before.orders}
+        old_orders = {order.ident: order for order in previous.orders}
         for order in document.orders:
             old = old_orders.pop(order.ident, None)
             if old is None or old.state != order.state:
@@ -363,7 +371,7 @@
             elif order.state == work_orders.FREE and order.note and order.note != old.note:
                 log.warning("work_away", extra={"kv": {"order": order.ident, "machine": order.machine, "why": order.note}})
         for ended in document.ended:
-            if ended.number > before.number:
+            if ended.number > previous.number:
                 log.log(
                     logging.ERROR if ended.how == work_orders.REFUSED else logging.INFO,
                     "work_ended",
@@ -446,7 +454,7 @@
                 log.error("accept", extra={"kv": {"why": str(error)}})
                 time.sleep(MAX_LINE_INTERVAL_S)
                 continue
-            if self.unreadable_reason and self.is_voter or self.readers >= 4 * len(self.settings.members) + SPARE_READERS:
+            if self.unreadable_reason and self.is_voter or self.reader_count >= 4 * len(self.settings.members) + SPARE_READERS:
                 conn.close()
                 continue
             try:
@@ -464,7 +472,7 @@
 
     def serve_reader(self, conn: socket.socket) -> None:
         with self.line_changed:
-            self.readers += 1
+            self.reader_count += 1
         try:
             with conn:
                 conn.settimeout(SEND_TIMEOUT_S)
@@ -492,4 +500,4 @@
             contained_errors.record("fleet-watcher")
         finally:
             with self.line_changed:
-                self.readers -= 1
+                self.reader_count -= 1
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,12 +24,12 @@
     pass
 
 
-def explore(crashes=1, requests=(1, 1, 0), members=3, max_states=400_000, successors=0, begun=None):
+def explore(crashes=1, requests=(1, 1, 0), members=3, max_states=400_000, successors=0, initial=None):
     """Every order in which members read one another's registers, request ballots (`requests`: how many each) and lose their memory.
     Wherever a value is decided, it must extend or begin what was decided before. Returns the count of states, and whether the
     search was complete."""
-    start = *(begun or founded(members)), requests, crashes, 100, ()
-    seen, to_expand = {start}, [start]
+    initial_state = *(initial or founded(members)), requests, crashes, 100, ()
+    seen, to_expand = {initial_state}, [initial_state]
     while to_expand and len(seen) < max_states:
         registers, views, requests_left, crashes_left, nonce, decided = to_expand.pop()
         for following in moves(registers, views, requests_left, crashes_left, nonce, decided, successors):
@@ -59,8 +59,10 @@
                     successors,
                 )
         if requests_left[n] and me.life:
-            left = requests_left[:n] + (requests_left[n] - 1,) + requests_left[n + 1 :]
-            yield after_move(registers, views, n, consensus.request_ballot(me), views[n], left, crashes_left, nonce, decided, successors)
+            left_after = requests_left[:n] + (requests_left[n] - 1,) + requests_left[n + 1 :]
+            yield after_move(
+                registers, views, n, consensus.request_ballot(me), views[n], left_after, crashes_left, nonce, decided, successors
+            )
         if crashes_left:
             blank = blank_register(n, members, nonce)
             own_views = (None,) * n + (blank,) + (None,) * (members - n - 1)
@@ -97,10 +99,10 @@
     )
 
 
-def random_run(seed, members=3, steps=60, crashes=1, requests=2, begun=None, successors=2):
+def random_run(seed, members=3, steps=60, crashes=1, requests=2, initial=None, successors=2):
     """One run with random moves. Returns the decided value."""
     rng = random.Random(seed)
-    state = *(begun or founded(members)), (requests,) * members, crashes, 100, ()
+    state = *(initial or founded(members)), (requests,) * members, crashes, 100, ()
     for _ in range(steps):
         choices = list(moves(*state, successors))
         if not choices:
@@ -233,18 +235,18 @@
     ],
 )
 def test_random_runs_find_a_member_that_rejoins_too_early(planted, monkeypatch):
-    begun = founded(3)
+    initial = founded(3)
     for seed in range(300):
-        random_run(seed, begun=begun, crashes=2)
+        random_run(seed, initial=initial, crashes=2)
     monkeypatch.setattr(consensus, "rejoin", planted)
     with pytest.raises(Broken):
         for seed in range(4000):
-            random_run(seed, begun=begun, crashes=2)
+            random_run(seed, initial=initial, crashes=2)
 
 
 def test_random_runs_at_five_members_decide_one_sequence():
-    begun = founded(5)
-    decided = [random_run(seed, 5, 100, 2, 2, begun) for seed in range(120)]
+    initial = founded(5)
+    decided = [random_run(seed, 5, 100, 2, 2, initial) for seed in range(120)]
     assert sum(map(bool, decided)) > 30 and max(map(len, decided)) > 1
 
 
--- a/tests/test_fleet_lease.py
+++ b/tests/test_fleet_lease.py
@@ -27,10 +27,10 @@
         return self.clock_offset + int(true_time * self.clock_rate)
 
 
-def simulate(seed, members=5, seconds=20, forget=0.0004, holder=Lease.is_held, began=True):
-    """A random run. `forget`: the probability that a member loses its memory in a step of 20 ms; `holder(lease, acks, now)`: whether a
-    member counts as the holder; `began`: whether a member without memory waits for the length of a lease. Returns how many held a
-    lease at one moment at most, and how often the lease passed to a member."""
+def simulate(seed, members=5, seconds=20, loss_probability=0.0004, is_holder=Lease.is_held, waits_after_restart=True):
+    """A random run in steps of 20 ms. `loss_probability`: that a member loses its memory in a step; `is_holder(lease, acks, now)`: whether
+    a member counts as the holder; `waits_after_restart`: whether a member without memory waits for the length of a lease. Returns the
+    greatest number of members that held a lease at the same time, and how often the lease passed to a member."""
     rng = random.Random(seed)
     registers, _ = founded(members)
     all_members = [SimulatedMember(n, register, rng) for n, register in enumerate(registers)]
@@ -44,10 +44,10 @@
             if true_time < me.stopped_until:
                 continue
             now, n = me.now(true_time), me.n
-            if rng.random() < forget:
+            if rng.random() < loss_probability:
                 nonce += 1
                 me.register, me.views, me.acks = blank_register(n, members, nonce), [None] * members, [None] * members
-                me.lease, me.tick = Lease(n, LENGTH, started_at=now if began else 0), (NO_BALLOT, 0)
+                me.lease, me.tick = Lease(n, LENGTH, started_at=now if waits_after_restart else 0), (NO_BALLOT, 0)
             for other in all_members:
                 if other is me or (other.n, n) in cut_pairs or true_time < other.stopped_until or rng.random() < 0.6:
                     continue
@@ -70,7 +70,7 @@
                 me.views[n] = me.register
             if consensus.leads(me.register, me.views):
                 me.tick = me.register.asked, me.lease.publish_tick(me.register.asked, now)
-        holding = [me.n for me in all_members if holder(me.lease, me.acks, me.now(true_time))]
+        holding = [me.n for me in all_members if is_holder(me.lease, me.acks, me.now(true_time))]
         max_holders = max(max_holders, len(holding))
         holders += [n for n in holding if not holders or holders[-1] != n]
     return max_holders, len(holders)
@@ -90,7 +90,7 @@
     )
 
 
-@pytest.mark.parametrize("planted", [dict(holder=from_the_answer), dict(began=False, forget=0.002)])
+@pytest.mark.parametrize("planted", [dict(is_holder=from_the_answer), dict(waits_after_restart=False, loss_probability=0.002)])
 def test_simulation_finds_a_lease_that_does_not_end_or_that_a_supporter_forgets(planted):
     assert any(simulate(seed, **planted)[0] > 1 for seed in range(40))
 
