--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -1,4 +1,4 @@
-"""Cache servers' RESP arrays: bytes to typed values and back. No sockets here."""
+"""Encodes requests to cache servers as RESP arrays, and decodes their replies to typed values. Uses no sockets."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 from fieldspur.record import record
 from fieldspur.site import LOADS, MS
 
+# The result of a hop (host.RESULTS) by the status word of its reply.
 RESULT_BY_WORD = {
     "ACK": "completed",
     "NOMOD": "completed",
@@ -18,6 +19,7 @@
     "READY": "completed",
     "AILING": "error",
 }
+# Words of the "tell=" field: how a hop was served, or why its fill failed. The index is the `note` that the Router gets, see host.HIT.
 FILL_NOTES = (
     "",
     "TCP_HIT",
@@ -31,44 +33,49 @@
     "FILL_FULL",
     "ROOT_FAIL",
 )
-NOTE_AT = {word: at for at, word in enumerate(FILL_NOTES)}
-MOST_LOAD = 1_000_000  # a figure above is no count of anything at one server
-MOST_ITEMS, MOST_BULK, MOST_LINE, MOST_ANSWER = 8, 240_000, 32, 256_000
+NOTE_BY_WORD = {word: note for note, word in enumerate(FILL_NOTES)}
+MAX_LOAD_VALUE = 1_000_000  # a larger value can't be a count of anything at one server
+MAX_ITEMS = 8  # items in one array
+MAX_ITEM_BYTES = 240_000
+MAX_LINE_BYTES = 32  # the line with the length of an array or of an item
+MAX_REPLY_BYTES = 256_000
 
 
 class BadReply(Exception):
-    """The connection can't be read any further."""
+    """A reply is malformed, and nothing after it on the connection can be read."""
 
 
-@record()  # not frozen: that costs more than all else a small message needs
+@record()  # not frozen: that would cost more than all other work on a small message
 class Want:
-    """One hop, as a server is asked for it."""
+    """The `want` request of one hop."""
 
     txn: str
     rule: str
     obj: str
     part: int
-    limit_ms: int  # set as it is written
-    key: str | None
-    source: str | None
-    rank: int
-    within_ms: int  # 0: the rule's own
-    join: bool
-    renew: bool
-    fetch: bool
-    tag: str | None
+    limit_ms: int  # time left until the client's limit; set when the request is written
+    key: str | None  # idempotency key, for keyed rules
+    source: str | None  # server to fill from on a miss
+    rank: int  # priority at the server
+    within_ms: int  # maximum age of a copy; 0: as the rule says
+    join: bool  # join a fill of the same object that is under way
+    renew: bool  # refresh the copy from the source
+    fetch: bool  # fetch from the origin if needed; otherwise only cached copies
+    tag: str | None  # of the copy that the client holds
     body: bytes
 
 
 @record()
 class Reply:
-    ident: str
+    """A reply to a hop or a probe."""
+
+    ident: str  # name of the hop or probe
     result: str
-    current_tag: str | None  # the tag of the client's copy, where that is said to be the one
-    note: int
-    queued_ns: int | None  # ns
-    load: dict[str, float] | None
-    body: memoryview | bytes  # of the connection's own buffer: good until it is read on
+    current_tag: str | None  # tag of the client's copy, if the server says that this copy is current
+    note: int  # index in FILL_NOTES
+    queued_ns: int | None  # how long the request waited at the server
+    load: dict[str, float] | None  # load figures that the server reports, by name
+    body: memoryview | bytes  # a view of the connection's buffer, valid until the next read
 
 
 def encode_array(*items: bytes) -> bytes:
@@ -78,53 +85,58 @@
     return b"".join(parts)
 
 
-def how(w: Want) -> str:
-    if w.join and w.fetch and not w.renew:
-        return "collapse"  # the ordinary one
-    return "+".join(word for word, on in (("collapse", w.join), ("only-if-cached", not w.fetch), ("refresh", w.renew)) if on)
-
-
-def encode_want(w: Want) -> tuple:
-    """Buffers in their order; a body goes apart, as it is."""
-    fields = f"cls={w.rule},item={w.obj},chunk={w.part},limit={w.limit_ms}"
-    if w.key:
-        fields += f",nonce={w.key}"
-    if w.source:
-        fields += f",miss={w.source}"
-    if w.rank:
-        fields += f",prio={w.rank}"
-    if w.within_ms:
-        fields += f",within={w.within_ms}"
-    if w.join or w.renew or not w.fetch:
-        fields += ",f=" + how(w)
-    if w.tag:
-        fields += f",mine={w.tag}"
-    name, said = w.txn.encode(), fields.encode()
-    head = b"*4\r\n$4\r\nwant\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n" % (len(name), name, len(said), said, len(w.body))
-    return (head, w.body, b"\r\n") if w.body else (head + b"\r\n",)
+def encode_flags(want: Want) -> str:
+    if want.join and want.fetch and not want.renew:
+        return "collapse"  # the ordinary case
+    return "+".join(
+        flag for flag, is_set in (("collapse", want.join), ("only-if-cached", not want.fetch), ("refresh", want.renew)) if is_set
+    )
+
+
+def encode_want(want: Want) -> tuple:
+    """Returns the buffers to write, in order. A body is a buffer of its own and is not copied."""
+    fields = f"cls={want.rule},item={want.obj},chunk={want.part},limit={want.limit_ms}"
+    if want.key:
+        fields += f",nonce={want.key}"
+    if want.source:
+        fields += f",miss={want.source}"
+    if want.rank:
+        fields += f",prio={want.rank}"
+    if want.within_ms:
+        fields += f",within={want.within_ms}"
+    if want.join or want.renew or not want.fetch:
+        fields += ",f=" + encode_flags(want)
+    if want.tag:
+        fields += f",mine={want.tag}"
+    name, encoded_fields = want.txn.encode(), fields.encode()
+    head = b"*4\r\n$4\r\nwant\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n" % (len(name), name, len(encoded_fields), encoded_fields, len(want.body))
+    return (head, want.body, b"\r\n") if want.body else (head + b"\r\n",)
 
 
 def encode_never_mind(ident: str) -> bytes:
+    """Tells the server that the hop is cancelled."""
     return encode_array(b"never_mind", ident.encode())
 
 
-def encode_probe(tag: str) -> bytes:
-    return encode_array(b"busy", tag.encode())
+def encode_probe(ident: str) -> bytes:
+    """Asks the server for its load."""
+    return encode_array(b"busy", ident.encode())
 
 
 def parse_load(text: str) -> dict[str, float] | None:
+    """Parses the load figures `name:value;...`, under the names that the Router uses; None if none is usable."""
     load = {}
     for pair in text.split(";"):
         name, _, value = pair.partition(":")
         try:
             load[LOADS.get(name, name)] = float(value)
         except ValueError:
-            continue  # one unreadable figure does not spoil the report
-    return {name: value for name, value in load.items() if 0 <= value <= MOST_LOAD} or None
+            continue  # one unreadable figure does not invalidate the others
+    return {name: value for name, value in load.items() if 0 <= value <= MAX_LOAD_VALUE} or None
 
 
 def decode_reply(items: list) -> Reply:
-    """`items` are bytes or views of them; the last one is passed on as it is."""
+    """Decodes the items of an array, which are bytes or memoryviews. The last item, the body, is passed on unchanged."""
     try:
         return make_reply(
             str(items[0], "utf-8"),
@@ -134,128 +146,129 @@
             len(items),
         )
     except (IndexError, UnicodeDecodeError):
-        raise BadReply("not an answer") from None
+        raise BadReply("not a known reply") from None
 
 
-def current(text: str, body) -> str:
-    """The tag that an answer without bytes names; none where it holds more or less than that. Guards against calling a client's
-    copy current that no server has named to it."""
-    return "" if len(body) else next((pair[7:] for pair in text.split(",") if pair.startswith("entity=")), "")
+def parse_current_tag(text: str, body) -> str:
+    """Returns the tag in a reply that confirms the client's copy, or "" if the reply has a body or no tag. This guards against telling a
+    client that its copy is current when no server has named that copy."""
+    return "" if len(body) else next((field[7:] for field in text.split(",") if field.startswith("entity=")), "")
 
 
-def make_reply(ident: str, word: str, text: str, body, count: int) -> Reply:
+def make_reply(ident: str, word: str, text: str, body, item_count: int) -> Reply:
+    """Builds a reply from the status word, the text of its fields and the body."""
     result = RESULT_BY_WORD.get(word)
     if result is None:
-        raise BadReply("not an answer")
-    if (word == "ACK" or word == "NOMOD") and count != 4:
-        raise BadReply("not whole")
-    note, waited, load = 0, None, None
-    for pair in text.split(","):
-        if pair.startswith("tell="):
-            note = NOTE_AT.get(pair[5:], 0)
-        elif pair.startswith("delay="):
+        raise BadReply("not a known reply")
+    if (word == "ACK" or word == "NOMOD") and item_count != 4:
+        raise BadReply("a completed reply without four items")
+    note, queued_ns, load = 0, None, None
+    for field in text.split(","):
+        if field.startswith("tell="):
+            note = NOTE_BY_WORD.get(field[5:], 0)
+        elif field.startswith("delay="):
             try:
-                waited = int(float(pair[6:]) * MS)
+                queued_ns = int(float(field[6:]) * MS)
             except (ValueError, OverflowError):
                 raise BadReply("delay: unreadable") from None
-            if waited < 0:
+            if queued_ns < 0:
                 raise BadReply("delay: unreadable")
-        elif pair.startswith("meter=") and len(pair) > 6:
-            load = parse_load(pair[6:])
-    return Reply(ident, result, current(text, body) if word == "NOMOD" else None, note, waited, load, body)
-
-
-FIRST = 16_384  # of a connection's buffer, until a longer answer comes
-LINE = re.compile(rb"[*$]([0-9]{1,%d})\r\n" % (MOST_LINE - 3))
+        elif field.startswith("meter=") and len(field) > 6:
+            load = parse_load(field[6:])
+    return Reply(ident, result, parse_current_tag(text, body) if word == "NOMOD" else None, note, queued_ns, load, body)
 
 
-# The head of an answer with all four items, up to its body.
-USUAL = re.compile(
+INITIAL_BUFFER_BYTES = 16_384  # size of a connection's buffer until a longer reply arrives
+LENGTH_LINE = re.compile(rb"[*$]([0-9]{1,%d})\r\n" % (MAX_LINE_BYTES - 3))
+# The ordinary reply, with four items, up to the start of its body.
+USUAL_REPLY_HEAD = re.compile(
     rb"\*4\r\n\$([0-9]{1,3})\r\n([!-~]{1,200})\r\n\$([0-9])\r\n([A-Z]{3,6})\r\n"
     rb"\$([0-9]{1,4})\r\n([!-~]*)\r\n\$([0-9]{1,6})\r\n"
 )
 
 
 class Decoder:
-    """Cuts what a server sends into values, across any split of reads; nothing is read twice or copied whole."""
+    """Decodes replies from the received bytes, however the reads split them. Nothing is parsed twice, and no reply is copied as a whole."""
 
     def __init__(self):
-        self.window = ReceiveBuffer(FIRST, trust_length=True)
-        self.at = 0  # read so far of the present array, from its start
-        self.due = 0  # items of it still to come
-        self.items: list[slice] = []  # where they lie, from its start
+        self.buffer = ReceiveBuffer(INITIAL_BUFFER_BYTES, trust_length=True)
+        # The array that is being decoded; positions are counted from its start.
+        self.position = 0  # end of what is decoded
+        self.items_left = 0  # items that are still to be decoded
+        self.items: list[slice] = []  # positions of the decoded items
 
     def in_reply(self) -> bool:
-        """Whether an answer has begun and not ended."""
-        return len(self.window) > 0
-
-    def line(self, mark: int) -> int | None:
-        """The number on the line at `at`, and past it; None where it is not whole yet."""
-        window = self.window
-        at = window.start + self.at
-        found = LINE.match(window.buf, at, window.end)
-        if found is None or window.buf[at] != mark:
-            if at < window.end and window.buf[at] != mark or window.buf.find(b"\r\n", at, window.end) >= 0:
+        """Returns whether a reply has begun and not ended."""
+        return len(self.buffer) > 0
+
+    def read_length(self, marker: int) -> int | None:
+        """Returns the number on the line at `position` and moves past that line; None if the line has not arrived completely. `marker` is
+        the line's first byte."""
+        buffer = self.buffer
+        line_start = buffer.start + self.position
+        match = LENGTH_LINE.match(buffer.buf, line_start, buffer.end)
+        if match is None or buffer.buf[line_start] != marker:
+            if line_start < buffer.end and buffer.buf[line_start] != marker or buffer.buf.find(b"\r\n", line_start, buffer.end) >= 0:
                 raise BadReply("not an array of bulk strings")
-            if window.end - at >= MOST_LINE:
-                raise BadReply("a line too long")
+            if buffer.end - line_start >= MAX_LINE_BYTES:
+                raise BadReply("length line too long")
             return None
-        self.at = found.end() - window.start
-        return int(found[1])
+        self.position = match.end() - buffer.start
+        return int(match[1])
 
     def feed(self, data: bytes):
-        """Yields replies; raises BadReply where nothing more can be read."""
-        for size in self.window.feed(data):
+        """Yields the replies in `data`. Raises BadReply if nothing more can be read."""
+        for size in self.buffer.feed(data):
             yield from self.received(size)
 
     def received(self, size: int):
-        """So many bytes came into the window's room. Yields replies, whose bodies lie in the window."""
-        window = self.window
-        window.end += size
-        while window.start < window.end:
-            if not self.due:
-                if window.message_size > window.end - window.start:
-                    return  # the rest of an answer whose length is known
-                found = USUAL.match(window.buf, window.start, window.end)
-                if found is not None:
-                    ident_size, ident, word_size, word, text_size, text, bulk = found.groups()
-                    end = found.end() + int(bulk)
+        """Yields the replies that are complete after `size` more bytes were read into the buffer. Their bodies are views of the buffer."""
+        buffer = self.buffer
+        buffer.end += size
+        while buffer.start < buffer.end:
+            if not self.items_left:
+                if buffer.message_size > buffer.end - buffer.start:
+                    return  # the reply of known length is still incomplete
+                match = USUAL_REPLY_HEAD.match(buffer.buf, buffer.start, buffer.end)
+                if match is not None:
+                    ident_size, ident, word_size, word, text_size, text, body_size = match.groups()
+                    end = match.end() + int(body_size)
                     if (
                         len(ident) == int(ident_size)
                         and len(word) == int(word_size)
                         and len(text) == int(text_size)
-                        and int(bulk) <= MOST_BULK
+                        and int(body_size) <= MAX_ITEM_BYTES
                     ):
-                        if window.end < end + 2:
-                            window.message_size = end + 2 - window.start
+                        if buffer.end < end + 2:
+                            buffer.message_size = end + 2 - buffer.start
                             return
-                        if window.buf[end] == 13 and window.buf[end + 1] == 10:
-                            window.start, window.message_size = end + 2, 0
-                            yield make_reply(ident.decode(), word.decode(), text.decode(), window.view[found.end() : end], 4)
+                        if buffer.buf[end] == 13 and buffer.buf[end + 1] == 10:  # CR LF
+                            buffer.start, buffer.message_size = end + 2, 0
+                            yield make_reply(ident.decode(), word.decode(), text.decode(), buffer.view[match.end() : end], 4)
                             continue
-                found = self.line(42)
-                if found is None:
+                item_count = self.read_length(42)  # "*"
+                if item_count is None:
                     return
-                if not 0 < found <= MOST_ITEMS:
-                    raise BadReply("an array of that length")
-                self.due = found
-            while self.due:
-                begun = self.at
-                bulk = self.line(36)
-                if bulk is None:
+                if not 0 < item_count <= MAX_ITEMS:
+                    raise BadReply("array length out of range")
+                self.items_left = item_count
+            while self.items_left:
+                item_start = self.position
+                item_size = self.read_length(36)  # "$"
+                if item_size is None:
                     return
-                end = self.at + bulk
-                if bulk > MOST_BULK or end > MOST_ANSWER:
-                    raise BadReply("an item of that length")
-                if len(window) < end + 2:
-                    self.at = begun
-                    window.message_size = end + 2
+                end = self.position + item_size
+                if item_size > MAX_ITEM_BYTES or end > MAX_REPLY_BYTES:
+                    raise BadReply("item too long")
+                if len(buffer) < end + 2:
+                    self.position = item_start
+                    buffer.message_size = end + 2
                     return
-                if window.buf[window.start + end : window.start + end + 2] != b"\r\n":
-                    raise BadReply("an item without its end")
-                self.items.append(slice(self.at, end))
-                self.at, self.due = end + 2, self.due - 1
-            base, size = window.start, self.at
-            items, self.items, self.at = self.items, [], 0
-            window.start, window.message_size = base + size, 0
-            yield decode_reply([window.view[base + item.start : base + item.stop] for item in items])
+                if buffer.buf[buffer.start + end : buffer.start + end + 2] != b"\r\n":
+                    raise BadReply("item not followed by CR LF")
+                self.items.append(slice(self.position, end))
+                self.position, self.items_left = end + 2, self.items_left - 1
+            start, size = buffer.start, self.position
+            items, self.items, self.position = self.items, [], 0
+            buffer.start, buffer.message_size = start + size, 0
+            yield decode_reply([buffer.view[start + item.start : start + item.stop] for item in items])
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -433,7 +433,7 @@
         """Waits for ever between answers; within one no longer than a connection may take to come up."""
         while True:
             try:
-                return self.sock.recv_into(decoder.window.free_space())
+                return self.sock.recv_into(decoder.buffer.free_space())
             except BlockingIOError:
                 if decoder.in_reply():
                     raise resp.BadReply("an answer that stops short") from None
@@ -457,7 +457,7 @@
 
     def handle_replies(self, decoder: resp.Decoder, size: int) -> None:
         """All that one read brought. Answers to one client go out in one write, and the Router hears of them together."""
-        pool, window, cork = self.pool, decoder.window, []
+        pool, window, cork = self.pool, decoder.buffer, []
         self.last_received_at = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         pool.host.start_batch()
         try:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -114,7 +114,7 @@
     data = b"".join(resp.encode_array(b"%016x" % n, b"ACK", b"entity=e", body) for n, body in enumerate(bodies))
     decoder, found, at = resp.Decoder(), [], 0
     while at < len(data):
-        room = decoder.window.free_space()
+        room = decoder.buffer.free_space()
         size = min(len(room), reads[len(found) % len(reads)], len(data) - at)
         room[:size] = data[at : at + size]
         at += size
@@ -259,7 +259,7 @@
 
     ClientWriter.uncork, decoder = look, resp.Decoder()
     try:
-        room = decoder.window.free_space()
+        room = decoder.buffer.free_space()
         room[: len(data)] = data
         lane.handle_replies(decoder, len(data))
     finally:
