--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -210,7 +210,7 @@
         self.flights: dict[tuple, Flight] = {}
 
 
-class Fleet:
+class ServerPool:
     """The listed servers: their states, health, loads and cold budgets."""
 
     def __init__(
@@ -475,7 +475,7 @@
         host: Host,
         seed: int,
         rules: list[RemapRule],
-        fleet: Fleet,
+        fleet: ServerPool,
         purges: Purges,
         collapsing: Collapsing,
         kb_per_s: float,
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from fieldspur.decide import Fleet
+from fieldspur.decide import ServerPool
 from fieldspur.fleet.coordinator import EJECTED, HEALTHY, MAX_LOADS, SLOW_START
 from fieldspur.fleet.work_orders import Listing
 from fieldspur.net.discovery import ListChange, ListedServer
@@ -147,7 +147,7 @@
 
     def measure_loads(self, done: Callable) -> None:
         """Measures the loads of all servers and the rates of rejected and of all txns. Runs in the router host's thread."""
-        fleet: Fleet = self.route.router.fleet
+        fleet: ServerPool = self.route.router.fleet
         now = self.route.now()
         loads = {}
         for index, server in enumerate([*fleet.caches, *fleet.parents][:MAX_LOADS]):
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -9,7 +9,7 @@
 import json
 import math
 
-from fieldspur.decide import Collapsing, Fleet, Purges, Router
+from fieldspur.decide import Collapsing, Purges, Router, ServerPool
 from fieldspur.host import Host, RemapRule
 from fieldspur.record import record
 
@@ -101,7 +101,7 @@
     zones: list[str]
     kinds: list[str]
     columns: list[str]  # of a load report, in the module's words
-    fleet: dict  # what the Fleet is built from
+    fleet: dict  # what the ServerPool is built from
     router: dict  # what the Router is built from, besides its parts
     gone_everywhere: int  # a purge binds no longer than this
     connect_timeout: int
@@ -180,7 +180,7 @@
 
 
 def build_router(host: Host, seed: int, site: Deployment) -> Router:
-    return Router(host, seed, site.rules, Fleet(**site.fleet), Purges(site.gone_everywhere), Collapsing(), **site.router)
+    return Router(host, seed, site.rules, ServerPool(**site.fleet), Purges(site.gone_everywhere), Collapsing(), **site.router)
 
 
 @record(frozen=True)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,7 +13,7 @@
 from types import SimpleNamespace
 
 from fieldspur.bench.path import ROOT
-from fieldspur.decide import MS, SECOND, Collapsing, Fleet, Purges, Router
+from fieldspur.decide import MS, SECOND, Collapsing, Purges, Router, ServerPool
 from fieldspur.host import HIT, JOINED, NEVER_RAN, PAST_FRESH, RemapRule
 from fieldspur.net.client_writer import AnswerSender
 from fieldspur.net.connection_pool import ConnectionPool
@@ -39,7 +39,7 @@
         self.clock, self.rules, self.second_copies = 1000 * SECOND, rules or [rule()], second_copies
         self.txns, self.alarms, self.lines, self.rating = {}, [], [], rating
         self.servers, self.purges = {}, []
-        fleet = Fleet(
+        fleet = ServerPool(
             zone=1,
             parent_kind=1,
             origin_kind=2,
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -7,7 +7,7 @@
 import pytest
 from helpers import SPAN, Referee, rule
 
-from fieldspur.decide import MS, SECOND, Fleet
+from fieldspur.decide import MS, SECOND, ServerPool
 from fieldspur.host import FILLED_BY_ORIGIN, HIT, ORIGIN_FAILED, SOURCE_REFUSED
 from fieldspur.simulator.codec import BadInput, serve
 
@@ -375,8 +375,8 @@
 
 def test_what_a_txn_costs_does_not_grow_with_the_hops_out(monkeypatch):
     """Found on sockets: all hops out were looked through at each call, and a router that fell behind fell further."""
-    day, looks, hit_time = Referee(caches=1, rating=500.0), [], Fleet.hit_time
-    monkeypatch.setattr(Fleet, "hit_time", lambda *about: looks.append(1) or hit_time(*about))
+    day, looks, hit_time = Referee(caches=1, rating=500.0), [], ServerPool.hit_time
+    monkeypatch.setattr(ServerPool, "hit_time", lambda *about: looks.append(1) or hit_time(*about))
     day.router.fleet.siblings = False
     day.router.fleet.link_fits = 500.0
     for ident in range(120):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from fieldspur.decide import MS, SECOND, Fleet
+from fieldspur.decide import MS, SECOND, ServerPool
 from fieldspur.host import RESULTS
 
 RULES = [
@@ -84,7 +84,7 @@
     """Found at full size: a router's share was under one txn, or what it asked was taken for its share."""
     fleets, clock, asked = [], 1000 * SECOND, []
     for seed in range(routers):
-        fleet = Fleet(
+        fleet = ServerPool(
             zone=1,
             parent_kind=1,
             origin_kind=2,
@@ -123,7 +123,7 @@
     clock, asked, dice = 1000 * SECOND, [], random.Random(3)
 
     def begin(seed, now):
-        fleet = Fleet(
+        fleet = ServerPool(
             zone=1,
             parent_kind=1,
             origin_kind=2,
