--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -615,7 +615,7 @@
         span = rule.fresh + rule.grace if txn.past_fresh and rule.fresh and rule.grace else rule.fresh
         age = self.purges.oldest_copy(now, txn.obj, txn.group, span) or (span if span > rule.fresh else 0)
         join = self.joins and not rule.never_kept and not (hop.number and any(h.alone for h in txn.hops))
-        self.host.hop(
+        self.host.send_hop(
             txn.ident,
             server.name,
             txn.limit_at,
--- a/fieldspur/host.py
+++ b/fieldspur/host.py
@@ -39,7 +39,7 @@
 
     def now(self) -> int: ...
 
-    def hop(self, txn, server, cut_at: int, source, rank: int, max_age: int, join: bool, renew: bool, fetch: bool, go_by: int) -> None:
+    def send_hop(self, txn, server, cut_at: int, source, rank: int, max_age: int, join: bool, renew: bool, fetch: bool, go_by: int) -> None:
         """Send the txn to a server; on a miss it fills from `source`, the server itself meaning no fill.
 
         `max_age` 0 means the rule's own; without `fetch` the source gives only what it holds. A hop that has not gone
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -93,7 +93,7 @@
         rule = self.world.rule_at[txn.rule]
         self.router.txn_arrived(ident, rule, txn.obj, txn.part, txn.limit_at - self.clock.time, txn.kb, catalog.group(txn.obj))
 
-    def hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:  # goes out at once
+    def send_hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:  # goes out at once
         world, txn, began = self.world, self.open[ident], self.clock.time
         number = self.numbers[ident]
         self.numbers[ident] += 1
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -395,7 +395,7 @@
     def now(self) -> int:
         return self.clock
 
-    def hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:
+    def send_hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:
         txn = self.open_txns.by_id.get(ident)
         if txn is None:  # withdrawn a moment ago
             hop = Hop(ident, self.router.txns[ident].hops[-1].number, "", server, source, None, self.clock)
--- a/fieldspur/simulator/codec.py
+++ b/fieldspur/simulator/codec.py
@@ -84,7 +84,7 @@
     def now(self) -> int:
         return self.wire.now
 
-    def hop(self, txn, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:  # at once, so by `go_by`
+    def send_hop(self, txn, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:  # at once, so by `go_by`
         line = f"ticket={txn} server={server} cutAtUs={cut_at // US}"
         if source is None:
             return self.say("attempt " + line)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -147,7 +147,7 @@
     def now(self):
         return self.clock
 
-    def hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by):
+    def send_hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by):
         txn, s = self.txns[ident], self.servers[server]
         assert txn["final"] is None, "a hop after the final answer"
         assert (s["state"], s["kind"], s["zone"]) == ("up", 0, 1), "a hop to a server that is not to be used"
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -179,7 +179,7 @@
         open_txn_with_hop(send, staying_client_writer(send), ident=5)
         dialled = dials_wait(monkeypatch)
         with route.lock:  # the Router is at something, and has not heard of the start
-            route.hop(5, "c0", clock() + 3 * SECOND, "p0", 0, 0, False, False, True, NEVER)
+            route.send_hop(5, "c0", clock() + 3 * SECOND, "p0", 0, 0, False, False, True, NEVER)
             lane = route.outbox[-1][0]
             before = row(cache, "up") if restarts == "server" else parent
             route.list_received(ListChange(False, (replace(before, started=clock() // MS * MS),)))
