--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -849,7 +849,7 @@
     def at(self, when: int, what, *about) -> int:
         self.last_label = label = self.last_label + 1
         self.alarms[label] = (what, about)
-        self.host.wake(label, when)
+        self.host.set_alarm(label, when)
         return label
 
     def woken(self, label: int) -> None:
--- a/fieldspur/host.py
+++ b/fieldspur/host.py
@@ -54,7 +54,7 @@
     def abort(self, txn) -> None:
         """Final answer: failed, with no promise about its effect."""
 
-    def wake(self, label: int, at: int) -> None:
+    def set_alarm(self, label: int, at: int) -> None:
         """Call `woken(label)` at that time or soon after."""
 
     def forget(self, label: int) -> None:
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -174,7 +174,7 @@
             self.numbers.pop(ident, None)
             self.world.answered(self, ident, txn, word, issued, later)
 
-    def wake(self, label, at) -> None:
+    def set_alarm(self, label, at) -> None:
         self.clock.later(at - self.clock.time, lambda: self.router.woken(label))
 
     def forget(self, label) -> None:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -483,7 +483,7 @@
         else:
             self.answer_sender.undelivered.discard((ident, BY_ROUTER))
 
-    def wake(self, label, at) -> None:
+    def set_alarm(self, label, at) -> None:
         self.alarms[label] = at
         self.at(at, (ALARM, label))
 
--- a/fieldspur/simulator/codec.py
+++ b/fieldspur/simulator/codec.py
@@ -104,7 +104,7 @@
     def forget(self, label):
         """Nothing: the wire has no word for it, and an alarm that is not needed does nothing."""
 
-    def wake(self, label, at) -> None:
+    def set_alarm(self, label, at) -> None:
         self.say(f"arm label={label} instantUs={-(-at // US)}")
 
     def probe(self, server) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -229,7 +229,7 @@
         assert self.txns[ident]["final"] is None, "a second final answer"
         self.txns[ident]["final"] = word
 
-    def wake(self, label, at):
+    def set_alarm(self, label, at):
         self.alarms.append((label, at))
 
     def forget(self, label):
