--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -690,7 +690,7 @@
         hop = txn.hops[number]
         hop.out, hop.ran = False, result not in NEVER_RAN
         if self.alarms.pop(hop.due, None) is not None:
-            self.host.forget(hop.due)
+            self.host.cancel_alarm(hop.due)
         hop.server.out.pop((ident, number), None)
         self.fleet.fills_change(hop.server, -hop.counted)
         if hop.source is not None:
--- a/fieldspur/host.py
+++ b/fieldspur/host.py
@@ -57,7 +57,7 @@
     def set_alarm(self, label: int, at: int) -> None:
         """Call `woken(label)` at that time or soon after."""
 
-    def forget(self, label: int) -> None:
+    def cancel_alarm(self, label: int) -> None:
         """That alarm is not needed any more; a host may drop it, or still call `woken`."""
 
     def probe(self, server) -> None:
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -177,7 +177,7 @@
     def set_alarm(self, label, at) -> None:
         self.clock.later(at - self.clock.time, lambda: self.router.woken(label))
 
-    def forget(self, label) -> None:
+    def cancel_alarm(self, label) -> None:
         """Left in the heap: it does nothing when it is due."""
 
     def probe(self, server) -> None:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -487,7 +487,7 @@
         self.alarms[label] = at
         self.at(at, (ALARM, label))
 
-    def forget(self, label) -> None:
+    def cancel_alarm(self, label) -> None:
         self.timers.cancel(self.alarms.pop(label, 0), (ALARM, label))
 
     def probe(self, server) -> None:
--- a/fieldspur/simulator/codec.py
+++ b/fieldspur/simulator/codec.py
@@ -101,7 +101,7 @@
     def abort(self, txn) -> None:
         self.say(f"report_failure ticket={txn}")
 
-    def forget(self, label):
+    def cancel_alarm(self, label):
         """Nothing: the wire has no word for it, and an alarm that is not needed does nothing."""
 
     def set_alarm(self, label, at) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -232,7 +232,7 @@
     def set_alarm(self, label, at):
         self.alarms.append((label, at))
 
-    def forget(self, label):
+    def cancel_alarm(self, label):
         self.alarms = [(other, at) for other, at in self.alarms if other != label]
 
     def probe(self, server):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -465,7 +465,7 @@
     def set_timers():
         for label, after in ((1, 5_000), (2, 60), (3, 30), (4, 40)):
             route.set_alarm(label, base + after * MS)
-        route.forget(4)
+        route.cancel_alarm(4)
 
     route.post(set_timers)
     until(lambda: len(told) == 2)
