--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -852,6 +852,6 @@
         self.host.set_alarm(label, when)
         return label
 
-    def woken(self, label: int) -> None:
+    def alarm_fired(self, label: int) -> None:
         what, about = self.alarms.pop(label, (lambda: None, ()))
         what(*about)
--- a/fieldspur/host.py
+++ b/fieldspur/host.py
@@ -55,10 +55,10 @@
         """Final answer: failed, with no promise about its effect."""
 
     def set_alarm(self, label: int, at: int) -> None:
-        """Call `woken(label)` at that time or soon after."""
+        """Call `alarm_fired(label)` at that time or soon after."""
 
     def cancel_alarm(self, label: int) -> None:
-        """That alarm is not needed any more; a host may drop it, or still call `woken`."""
+        """That alarm is not needed any more; a host may drop it, or still call `alarm_fired`."""
 
     def probe(self, server) -> None:
         """Ask a server how it is; `probe_ended` follows."""
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -175,7 +175,7 @@
             self.world.answered(self, ident, txn, word, issued, later)
 
     def set_alarm(self, label, at) -> None:
-        self.clock.later(at - self.clock.time, lambda: self.router.woken(label))
+        self.clock.later(at - self.clock.time, lambda: self.router.alarm_fired(label))
 
     def cancel_alarm(self, label) -> None:
         """Left in the heap: it does nothing when it is due."""
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -156,7 +156,7 @@
     def timer_due(self, ident: int, number: int) -> None:
         if ident == ALARM:
             self.alarms.pop(number, None)
-            self.router.woken(number)
+            self.router.alarm_fired(number)
         elif ident == HELD:
             self.turn_away(number)
         elif ident == OVERDUE:
--- a/fieldspur/simulator/codec.py
+++ b/fieldspur/simulator/codec.py
@@ -147,7 +147,7 @@
         elif name == "ack_first":
             router.first_byte(whole(f, "ticket"), whole(f, "trial"))
         elif name == "timer":
-            router.woken(whole(f, "label"))
+            router.alarm_fired(whole(f, "label"))
         elif name == "withdrawn":
             router.txn_withdrawn(whole(f, "ticket"))
         elif name == "invalidated":
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -136,7 +136,7 @@
             self.clock = max(self.clock, at)
             if what == 2:
                 self.alarms.remove((ident, at))
-                self.router.woken(ident)
+                self.router.alarm_fired(ident)
             else:
                 self.end(ident, "timed_out" if what == 0 else "cancelled", number=number)
         self.clock = until
