--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -834,7 +834,7 @@
         if ident in self.txns and not self.txns[ident].ended:
             self.finish(self.txns[ident])
 
-    def time_is_up(self, ident: int, why: GiveUp = GiveUp.PROGRAM_ENDS) -> None:
+    def end_now(self, ident: int, why: GiveUp = GiveUp.PROGRAM_ENDS) -> None:
         """The program ends, or has failed over this txn: it gets its answer now."""
         txn = self.txns.get(ident)
         if txn is not None and not txn.ended:
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -178,7 +178,7 @@
     def abandon(self, ident: int) -> None:
         """The final answer of a request by the rules of what may have run, or, where even that fails, one without a promise."""
         try:
-            self.router.time_is_up(ident, GiveUp.INTERNAL_ERROR)
+            self.router.end_now(ident, GiveUp.INTERNAL_ERROR)
             self.drop_unknown_attempt(ident)
         except Exception:
             contained_errors.record("event", txn=ident)
@@ -277,7 +277,7 @@
             if ident in self.held:
                 self.turn_away(ident)
             else:
-                self.router.time_is_up(ident)
+                self.router.end_now(ident)
 
     def txn_withdrawn(self, ident: int) -> None:
         self.held.pop(ident, None)
