--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -824,7 +824,7 @@
                 return self.drop(hop)
         hop.due = self.at(now + QUIET_LEAST, self.hop_due, hop)
 
-    def first_byte(self, ident: int, number: int) -> None:
+    def first_byte_arrived(self, ident: int, number: int) -> None:
         txn = self.txns.get(ident)
         if txn is not None and txn.leads:
             for waiter in list(self.collapsing.flights[txn.obj, txn.part].waiters.values()):
--- a/fieldspur/simulator/codec.py
+++ b/fieldspur/simulator/codec.py
@@ -145,7 +145,7 @@
                 self.load(f),
             )
         elif name == "ack_first":
-            router.first_byte(whole(f, "ticket"), whole(f, "trial"))
+            router.first_byte_arrived(whole(f, "ticket"), whole(f, "trial"))
         elif name == "timer":
             router.alarm_fired(whole(f, "label"))
         elif name == "withdrawn":
