--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -34,7 +34,7 @@
 
     def __init__(self, route):
         self.route, self.site = route, route.site
-        kinds, fleet = self.site.kinds, self.site.fleet
+        kinds, fleet = self.site.kinds, self.site.pool_options
         self.kinds = {name: "parent" if n == fleet["parent_kind"] else "cache" for n, name in enumerate(kinds) if n != fleet["origin_kind"]}
         self.lock = threading.Lock()
         self.servers: dict[str, ListedServer] = {}
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -117,12 +117,12 @@
         self.coordinator = Coordinator(
             self.voter_names,
             own_name,
-            site.zones[site.fleet["zone"]],
+            site.zones[site.pool_options["zone"]],
             lease_length,
             planner.Bounds(bounds.zone, bounds.all, bounds.both, bounds.headroom, bounds.fills_s, bounds.parents, bounds.at_once),
             settings.unsure == "turn_away",
             max_time_limit,
-            max(site.fleet["cache_cold"][1], site.fleet["parent_cold"][1]),
+            max(site.pool_options["cache_cold"][1], site.pool_options["parent_cold"][1]),
         )
         self.coordinator.requests, self.coordinator.left_members = parse_requests(settings.work, "fleet.work"), list(settings.left)
         if is_voter:
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -101,8 +101,8 @@
     zones: list[str]
     kinds: list[str]
     columns: list[str]  # of a load report, in the module's words
-    fleet: dict  # what the ServerPool is built from
-    router: dict  # what the Router is built from, besides its parts
+    pool_options: dict  # what the ServerPool is built from
+    router_options: dict  # what the Router is built from, besides its parts
     gone_everywhere: int  # a purge binds no longer than this
     connect_timeout: int
     idle_close: int
@@ -140,7 +140,7 @@
     if zone >= min(len(by_zone), len(pipes)):
         raise BadSite(f"{conf.at('zone')}: not within familyInfo.countByZone and pipeKbPerS")
     pace = info.number("clientKbPerS")
-    fleet = dict(
+    pool_options = dict(
         zone=zone,
         parent_kind=info.whole("upperKind", least=-1),
         origin_kind=info.whole("rootKind"),
@@ -153,7 +153,7 @@
         link=pipes[zone] / max(1.0, pace),
         siblings=info.text("siblings") != "none",
     )
-    router = dict(
+    router_options = dict(
         kb_per_s=pace,
         hop_limit=may.whole("sendCap"),
         joins=info.flag("mergesFills"),
@@ -169,8 +169,8 @@
         conf.row("areas", str, "names"),
         conf.row("kinds", str, "names"),
         [LOADS.get(word, word) for word in conf.part("report").row("columns", str, "names")],
-        fleet,
-        router,
+        pool_options,
+        router_options,
         info.whole("goneEverywhereUs") * US,
         may.whole("connectTimeoutUs", 400_000) * US,
         may.whole("idleCloseUs", 30_000_000) * US,
@@ -180,7 +180,9 @@
 
 
 def build_router(host: Host, seed: int, site: Deployment) -> Router:
-    return Router(host, seed, site.rules, ServerPool(**site.fleet), Purges(site.gone_everywhere), Collapsing(), **site.router)
+    return Router(
+        host, seed, site.rules, ServerPool(**site.pool_options), Purges(site.gone_everywhere), Collapsing(), **site.router_options
+    )
 
 
 @record(frozen=True)
