--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -487,7 +487,7 @@
         noteless: bool = False,
         watch: bool = False,
     ):
-        self.host, self.rules, self.fleet, self.purges = host, rules, fleet, purges
+        self.host, self.rules, self.pool, self.purges = host, rules, fleet, purges
         self.noteless, self.watch, self.differs = noteless, watch, {"noteless": 0}  # watched: counted only
         self.random, fleet.log = random.Random(seed), host.log
         fleet.random, fleet.began = self.random, host.now()
@@ -519,9 +519,9 @@
             return self.send(txn)
         self.mean_work += (work - self.mean_work) * LEARN
         self.mean_importance += (rule.importance - self.mean_importance) * LEARN
-        if self.probes and self.fleet.caches and now - self.probed_at >= PROBE_GAP:
-            self.probed_at, probed = now, self.random.choice(self.fleet.caches)
-            if not self.fleet.is_cold(probed, now):  # a probe is work too, and in no budget
+        if self.probes and self.pool.caches and now - self.probed_at >= PROBE_GAP:
+            self.probed_at, probed = now, self.random.choice(self.pool.caches)
+            if not self.pool.is_cold(probed, now):  # a probe is work too, and in no budget
                 self.host.probe(probed.name)
         flight = self.collapsing.flights.get((obj, part))
         if flight is None:
@@ -561,12 +561,12 @@
         sizes = self.sizes[txn.rule_at]
         if worth < 1 and sizes.lately and sizes.short(txn.work):
             worth = 1.0  # no less than the others'
-        filling, fetch = 0.0 if known or rule.never_kept else self.fleet.miss_share, True
+        filling, fetch = 0.0 if known or rule.never_kept else self.pool.miss_share, True
         crowd = CROWD_LEAST + min(CROWD_MOST, worth)
         if not txn.sized:
             crowd = min(crowd, self.bearable_crowd(txn, now))
         follow = leader.hops[-1].server if leader is not None and leader.hops else None
-        fleet = self.fleet
+        fleet = self.pool
         order = fleet.order(txn.obj, txn.part)
         server = fleet.cache_for(
             order, txn.obj, txn.part, now, mean, crowd, txn.avoid, follow, (lambda s: self.may_send(txn, s, now)) if txn.hops else None
@@ -692,11 +692,11 @@
         if self.alarms.pop(hop.due, None) is not None:
             self.host.cancel_alarm(hop.due)
         hop.server.out.pop((ident, number), None)
-        self.fleet.fills_change(hop.server, -hop.counted)
+        self.pool.fills_change(hop.server, -hop.counted)
         if hop.source is not None:
             hop.source.feeds.pop((ident, number), None)
         self.learn(txn, hop, result, took, note, waited, now)
-        self.fleet.told(hop.server, load, now)
+        self.pool.told(hop.server, load, now)
         if txn.ended:
             self.txns.pop(ident, None)
         elif final:
@@ -723,45 +723,45 @@
         self.notes |= note > 0  # told here, so an error without one is not the source's
         if source is not None and note in (*FILLS, SOURCE_REFUSED, ORIGIN_FAILED):
             source.heard, source.missed = now, source.missed // 2
-            for peer in self.fleet.peers(source) if len(self.fleet.parents) > 1 else ():
+            for peer in self.pool.peers(source) if len(self.pool.parents) > 1 else ():
                 peer.missed += bool(peer.feeds)
         elif source is not None and note in (HIT, JOINED, PAST_FRESH):
-            if (hop.sent - source.started) // self.fleet.fall_span == source.tokens_for:  # else it is over
+            if (hop.sent - source.started) // self.pool.fall_span == source.tokens_for:  # else it is over
                 source.tokens += hop.charged  # the source was not asked
-        hung = result == "timed_out" and hop.filling > 0 and self.fleet.usual_crowd(now) < SPILL
-        if self.fleet.origin is not None and (hung or note in (FILLED_BY_ORIGIN, ORIGIN_FAILED)):
-            bad = note != FILLED_BY_ORIGIN or self.fleet.origin_late(waited or 0)
-            self.fleet.origin.fails += (bad - self.fleet.origin.fails) * ORIGIN_STEP
+        hung = result == "timed_out" and hop.filling > 0 and self.pool.usual_crowd(now) < SPILL
+        if self.pool.origin is not None and (hung or note in (FILLED_BY_ORIGIN, ORIGIN_FAILED)):
+            bad = note != FILLED_BY_ORIGIN or self.pool.origin_late(waited or 0)
+            self.pool.origin.fails += (bad - self.pool.origin.fails) * ORIGIN_STEP
         txn.hopeless |= result == "missing" and (source is server or not hop.fetch)
         if result == "completed":
             for h in [h for h in txn.hops if h.erred] if len(txn.hops) > 1 else ():
-                self.fleet.judge(h.server, 1.0, now)
+                self.pool.judge(h.server, 1.0, now)
                 if h.source is not None and not (self.notes or txn.rule.never_kept):  # peers tell them apart
-                    self.fleet.judge(h.source, 1.0, now)
-            self.fleet.carried(server, hop.work, now)
-            self.fleet.judge(server, 0.0, now)
+                    self.pool.judge(h.source, 1.0, now)
+            self.pool.carried(server, hop.work, now)
+            self.pool.judge(server, 0.0, now)
             beside = (hop.beside + len(server.out)) / 2 + 1
-            was = self.fleet.seen(server, now)
+            was = self.pool.seen(server, now)
             if (
                 txn.sized
                 and hop.work > 50 * MS
-                and (note == HIT or note in FILLS and was > BUSY and self.fleet.link_crowding(now, 0) < LINK_SHARE)
+                and (note == HIT or note in FILLS and was > BUSY and self.pool.link_crowding(now, 0) < LINK_SHARE)
             ):
                 slow = (took - (20 * MS if note == HIT else 2 * DUE_WAIT)) / hop.work
-                self.fleet.saw(server, max(0.0, was + (max(slow, min(was, 1.0)) - was) * PACE_STEP), now)
-                self.fleet.transferred(server, hop.work, took, beside)
+                self.pool.saw(server, max(0.0, was + (max(slow, min(was, 1.0)) - was) * PACE_STEP), now)
+                self.pool.transferred(server, hop.work, took, beside)
             elif not txn.sized and (note == HIT or self.noteless and self.learns_noteless()):
                 alone = max(0, took - 20 * MS) * min(1.0, server.fits / beside)  # less what others took of it
                 off = alone - self.works[txn.rule_at]
                 self.works[txn.rule_at] += off * LEARN
                 self.spreads[txn.rule_at] += (abs(off) - self.spreads[txn.rule_at]) * LEARN
             if hop.filling and note:
-                self.fleet.miss_share += ((note in FILLS) - self.fleet.miss_share) * LEARN
+                self.pool.miss_share += ((note in FILLS) - self.pool.miss_share) * LEARN
             if note in FILLS and source is not None:
-                self.fleet.carried(source, txn.work, now)
-                self.fleet.judge(source, 0.0, now)
+                self.pool.carried(source, txn.work, now)
+                self.pool.judge(source, 0.0, now)
                 wait = waited if waited is not None else max(0, took - txn.work)
-                self.fleet.fill_wait += ((waited or 0) / max(took, 1) - self.fleet.fill_wait) * LEARN
+                self.pool.fill_wait += ((waited or 0) / max(took, 1) - self.pool.fill_wait) * LEARN
                 off = min(wait - self.first_byte_after, 5 * self.first_byte_after)
                 self.first_byte_after += off * LEARN
                 self.first_byte_spread += (abs(off) - self.first_byte_spread) * LEARN
@@ -769,7 +769,7 @@
             txn.past_fresh = True
             txn.avoid |= {source.name} if source is not None else set()
             if source is not None and note in (SOURCE_REFUSED, SOURCE_LOST):
-                self.fleet.judge(source, 1.0, now, note == SOURCE_LOST)
+                self.pool.judge(source, 1.0, now, note == SOURCE_LOST)
         elif result == "error":  # a txn that nobody can serve speaks against nobody
             txn.avoid.add(server.name)
             hop.erred = True
@@ -777,9 +777,9 @@
             txn.avoid |= {server.name} if result == "unreachable" else set()
             if result == "unreachable" or hop.sent > server.broke:  # all hops on a connection break at once
                 server.broke = now
-                self.fleet.judge(server, 1.0, now, result == "unreachable")
+                self.pool.judge(server, 1.0, now, result == "unreachable")
         elif result in ("full", "missing", "cancelled") and not hop.alone:
-            txn.avoid.add((source if result == "missing" and source in self.fleet.caches else server).name)
+            txn.avoid.add((source if result == "missing" and source in self.pool.caches else server).name)
 
     def learns_noteless(self) -> bool:  # where answers carry no notes, any completed one stands in for a hit
         self.differs["noteless"] += 1
@@ -790,8 +790,8 @@
         Where a router sees little, the longer the fewer are `out`: a late one may wait for its source."""
         txn = self.txns.get(hop.txn)  # unsized: one of many sizes; TAIL spreads more for the large ones
         tail = TAIL * self.spreads[txn.rule_at] if txn is not None and not txn.sized else 0.0
-        times = max(QUIET_TIMES, QUIET_FEW / max(out, 2)) if self.fleet.share < OBJECT_HOMES else QUIET_TIMES
-        due = times * (self.fleet.hit_time(hop, now) + self.first_byte_after)
+        times = max(QUIET_TIMES, QUIET_FEW / max(out, 2)) if self.pool.share < OBJECT_HOMES else QUIET_TIMES
+        due = times * (self.pool.hit_time(hop, now) + self.first_byte_after)
         return int((QUIET_LEAST + QUIET_TIMES * tail + due) * (ALONE if out < 2 else 1.0))
 
     def hop_due(self, hop: Hop) -> None:
@@ -800,24 +800,24 @@
         if not hop.out or hop.dropped:
             return
         if now - max(server.heard, hop.sent) >= self.patience(hop, now, len(server.out)):
-            if self.fleet.share < OBJECT_HOMES and (hop.filling or self.txns[hop.txn].rule.never_kept):
+            if self.pool.share < OBJECT_HOMES and (hop.filling or self.txns[hop.txn].rule.never_kept):
                 # Else only fills that come in time are learned from: a slow source is never known as slow.
                 late = max(0, now - hop.sent - hop.work - self.first_byte_after)
                 self.first_byte_after += late * LATE_LEARN
             if now >= server.ejected_until:
-                self.fleet.eject(server, now, "silent")
+                self.pool.eject(server, now, "silent")
             for other in list(server.out.values()):
                 if now - other.sent > QUIET_LEAST:
                     self.drop(other)
             return
-        if source in self.fleet.parents:
+        if source in self.pool.parents:
             if (
                 source.missed >= MISSED_FILLS
                 and not source.ejected_until
                 and LATE_FILLS
                 <= sum(now - max(h.sent, source.heard) >= self.patience(h, now, len(source.feeds)) for h in source.feeds.values())
             ):
-                self.fleet.eject(source, now, "its fills do not come")
+                self.pool.eject(source, now, "its fills do not come")
             if source.ejected_until:
                 hop.alone = True
                 self.txns[hop.txn].avoid.add(source.name)
@@ -844,7 +844,7 @@
         self.purges.note(self.host.now(), obj, group, age)
 
     def probe_ended(self, server: str, result: str, took: int, load: dict | None) -> None:
-        self.fleet.told(self.fleet.servers.get(server), load, self.host.now())
+        self.pool.told(self.pool.servers.get(server), load, self.host.now())
 
     def at(self, when: int, what, *about) -> int:
         self.last_label = label = self.last_label + 1
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -135,7 +135,7 @@
 
     def count_open_hops(self, machines) -> dict[str, int]:
         """The number of hops that are open at each machine, or that name it as their source."""
-        counts, servers = {}, self.route.router.fleet.servers
+        counts, servers = {}, self.route.router.pool.servers
         for name in machines:
             server = servers.get(name)
             counts[name] = len(server.out) + len(server.feeds) if server is not None else 0
@@ -147,7 +147,7 @@
 
     def measure_loads(self, done: Callable) -> None:
         """Measures the loads of all servers and the rates of rejected and of all txns. Runs in the router host's thread."""
-        fleet: ServerPool = self.route.router.fleet
+        fleet: ServerPool = self.route.router.pool
         now = self.route.now()
         loads = {}
         for index, server in enumerate([*fleet.caches, *fleet.parents][:MAX_LOADS]):
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -243,7 +243,7 @@
     # The list.
 
     def list_to(self, host: RouterHost, names: list[str], complete: bool = False, states: dict | None = None) -> None:
-        fleet = host.router.fleet
+        fleet = host.router.pool
         fleet.list_begins(complete)
         for name in names:
             model = self.models[name]
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -359,7 +359,7 @@
             self.process_queue()
 
     def apply_list(self, complete: bool, rows: list, live: bool = True) -> None:
-        fleet, site = self.router.fleet, self.site
+        fleet, site = self.router.pool, self.site
         fleet.list_begins(complete)
         for s in rows:
             fleet.server_listed(
@@ -371,7 +371,7 @@
         """When a server started, by this process' clock; one that is told again has not started again, whoever set a clock meanwhile."""
         told, at = self.starts.pop(s.name, UNKNOWN)
         if s.started != told:
-            fleet = self.router.fleet
+            fleet = self.router.pool
             ramp = fleet.cold[self.site.kinds.index(s.kind) == fleet.parent_kind][2]
             at = latest_possible_time(s.started, self.clock, live, ramp) if s.started else 0
         if s.state != "gone":
--- a/fieldspur/simulator/codec.py
+++ b/fieldspur/simulator/codec.py
@@ -223,7 +223,7 @@
     def announce(self, f: dict[str, str]) -> None:
         if need(f, "kind") == "X":
             return
-        self.listing, self.rows_due = self.instances[self.target].router.fleet, whole(f, "rowsIn", 0)
+        self.listing, self.rows_due = self.instances[self.target].router.pool, whole(f, "rowsIn", 0)
         self.listing.list_begins(complete=f["kind"] in "FC")
         if not self.rows_due:
             self.listing.list_ends()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -73,15 +73,15 @@
     # What the tests make happen.
 
     def list_servers(self, rows, complete=False, state="up", started=0):
-        self.router.fleet.list_begins(complete)
+        self.router.pool.list_begins(complete)
         if complete:
             for name in self.servers:
                 if name not in rows:
                     self.servers[name]["state"] = "gone"
         for name, (zone, kind, cell) in rows.items():
             self.servers[name] = {"state": state, "zone": zone, "kind": kind, "cell": cell, "started": started}
-            self.router.fleet.server_listed(name, state, started, zone, self.rating, kind, cell)
-        self.router.fleet.list_ends()
+            self.router.pool.server_listed(name, state, started, zone, self.rating, kind, cell)
+        self.router.pool.list_ends()
 
     def change(self, name, state="up", started=None):
         s = self.servers[name]
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -233,10 +233,10 @@
         told = replace(row(cache, "up"), name=f"c{number}", started=real() // MS * MS)
         began = clock()
         route.list_received(ListChange(False, (told,)))
-        assert began - 100 * MS <= route.router.fleet.servers[told.name].started <= clock(), f"a step of {step} s"
+        assert began - 100 * MS <= route.router.pool.servers[told.name].started <= clock(), f"a step of {step} s"
         later = replace(told, name=f"d{number}", started=clock() + 300 * MS)  # told ahead of its start
         route.list_received(ListChange(False, (later,)))
-        assert route.router.fleet.servers[later.name].started == later.started
+        assert route.router.pool.servers[later.name].started == later.started
 
 
 # Discovery, files, the start.
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -222,10 +222,10 @@
     for n in range(1, 1000):
         day.list_servers({f"c{n - 1}": (1, 0, 0)}, state="gone")
         day.list_servers({f"c{n}": (1, 0, 0)})
-    assert set(day.router.fleet.servers) == {"c0", "c999", "p0", "p1", "origin"}
+    assert set(day.router.pool.servers) == {"c0", "c999", "p0", "p1", "origin"}
     day.end(0, "completed", HIT)
     day.list_servers({"c1000": (1, 0, 0)})
-    assert "c0" not in day.router.fleet.servers
+    assert "c0" not in day.router.pool.servers
 
 
 def test_a_failing_parent_gives_way_to_the_second_and_the_last_server_is_not_ejected():
@@ -319,7 +319,7 @@
     for ident in range(8):
         day.arrive(ident, obj=f"o{ident}", kb=10.0, left=300 * MS)
         day.pass_time(320 * MS)
-    assert day.hops(0)[0]["fetch"] and day.router.fleet.origin.fails > 0.35
+    assert day.hops(0)[0]["fetch"] and day.router.pool.origin.fails > 0.35
 
 
 def test_an_origin_far_slower_than_usual_is_asked_by_few():
@@ -349,7 +349,7 @@
 def test_an_idle_way_in_is_not_closed_by_a_tiny_share():
     """Found on bc-enrolment-later: a second fill out was over a router's share, and misses were given up."""
     day = Referee(caches=3)
-    day.router.fleet.share, day.router.fleet.link_fits = 0.05, 0.9
+    day.router.pool.share, day.router.pool.link_fits = 0.05, 0.9
     for ident in range(7):
         day.arrive(ident, obj=f"o{ident}", kb=10.0)
     assert all(day.hops(i)[0]["source"] != day.hops(i)[0]["server"] for i in range(7))
@@ -377,21 +377,21 @@
     """Found on sockets: all hops out were looked through at each call, and a router that fell behind fell further."""
     day, looks, hit_time = Referee(caches=1, rating=500.0), [], ServerPool.hit_time
     monkeypatch.setattr(ServerPool, "hit_time", lambda *about: looks.append(1) or hit_time(*about))
-    day.router.fleet.siblings = False
-    day.router.fleet.link_fits = 500.0
+    day.router.pool.siblings = False
+    day.router.pool.link_fits = 500.0
     for ident in range(120):
         day.arrive(ident, obj=f"o{ident}")
-    cache = day.router.fleet.servers["c0"]
+    cache = day.router.pool.servers["c0"]
     assert len(cache.out) == 120 and len(looks) < 4 * 120  # one or two of each hop's own, and few looks
     assert cache.fills[0] == pytest.approx(sum(h.counted for h in cache.out.values()))
     day.pass_time(200 * MS)
-    assert day.router.fleet.filling(cache, day.clock) == pytest.approx(sum(h.counted for h in cache.out.values()))
+    assert day.router.pool.filling(cache, day.clock) == pytest.approx(sum(h.counted for h in cache.out.values()))
 
 
 def test_orders_are_kept_while_the_list_of_servers_stays_and_made_anew_when_it_changes():
     """Found in simulated time at 2,000 caches: each drain made every router rank all its objects again."""
     referee = Referee(caches=6)
-    fleet = referee.router.fleet
+    fleet = referee.router.pool
     objects = [f"object-{n}" for n in range(40)]
     before = {obj: [s.name for s in fleet.order(obj, 0)] for obj in objects}
     assert len({order[0] for order in before.values()}) == 6
@@ -412,12 +412,12 @@
     for name in ("p0", "p1"):
         day.change(name, started=day.clock)
     day.arrive(1, kb=100.0)
-    parent = day.router.fleet.servers[day.hops(1)[0]["source"]]
+    parent = day.router.pool.servers[day.hops(1)[0]["source"]]
     left, charged = parent.tokens, day.router.txns[1].hops[0].charged
     assert charged
     if later:
         day.clock += SPAN
-        day.router.fleet.has_room(parent, day.clock, 100 * MS)
+        day.router.pool.has_room(parent, day.clock, 100 * MS)
         left, charged = parent.tokens, 0.0
     day.end(1, "completed", HIT)
     assert parent.tokens == left + charged
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -70,7 +70,7 @@
             day.withdraw(open_txns[step[1] % len(open_txns)])
         for ident, txn in day.router.txns.items():  # both agree on what is allowed
             if not txn.ended:
-                for s in day.router.fleet.caches:
+                for s in day.router.pool.caches:
                     assert day.router.may_send(txn, s, day.clock) == day.may_send(day.txns[ident], s.name)
                 assert day.router.may_reject(txn) == day.may_reject(day.txns[ident])
     day.pass_time(10 * SECOND)
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -78,6 +78,6 @@
     day.router.works[0], day.router.spreads[0] = SECOND, int(deviation_s * SECOND)
     for ident in range(20):
         day.arrive(ident, obj=f"o{ident}", kb=0, left=left_s * SECOND)
-    (cache,) = day.router.fleet.caches
+    (cache,) = day.router.pool.caches
     large = 1 + 2 * deviation_s  # s that a request takes alone where the largest tenth of usual sizes begins
     assert cache.fits <= len(cache.out) <= cache.fits * left_s / large
