--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -166,7 +166,7 @@
                     "rev": self.board.last_number,
                     "broken": sum(invariants.violation_counts.values()),
                     **self.reasons(),
-                    **{f"shape_{kind}": n for kind, n in self.route.router.differs.items()},
+                    **{f"shape_{kind}": n for kind, n in self.route.router.shape_differences.items()},
                 }
             },
         )
--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -488,7 +488,7 @@
         watch: bool = False,
     ):
         self.host, self.rules, self.pool, self.purges = host, rules, fleet, purges
-        self.noteless, self.watch, self.differs = noteless, watch, {"noteless": 0}  # watched: counted only
+        self.noteless, self.watch, self.shape_differences = noteless, watch, {"noteless": 0}  # watched: counted only
         self.random, fleet.log = random.Random(seed), host.log
         fleet.random, fleet.began = self.random, host.now()
         self.collapsing, self.kb_per_s, self.hop_limit, self.joins = collapsing, kb_per_s, hop_limit, joins
@@ -782,7 +782,7 @@
             txn.avoid.add((source if result == "missing" and source in self.pool.caches else server).name)
 
     def learns_noteless(self) -> bool:  # where answers carry no notes, any completed one stands in for a hit
-        self.differs["noteless"] += 1
+        self.shape_differences["noteless"] += 1
         return not self.watch
 
     def patience(self, hop: Hop, now: int, out: int) -> int:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -88,7 +88,7 @@
             day.end(ident, "completed")
         learned = day.router.works[1] < 100 * MS
         assert learned == (noteless and not watch)
-        assert day.router.differs["noteless"] == (100 if noteless else 0)
+        assert day.router.shape_differences["noteless"] == (100 if noteless else 0)
 
 
 def test_a_large_unsized_object_does_not_pass_for_silent():
