--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -173,7 +173,7 @@
 
     def reasons(self) -> dict[str, int]:
         """How often something ended, was refused, given up or closed, by reason."""
-        gave_up, attempts = self.route.router.gave_up, self.route.attempts
+        gave_up, attempts = self.route.router.give_up_counts, self.route.attempts
         counts = {f"attempts_{result}": attempts[result] for result in RESULTS if attempts[result]}
         counts |= self.send.refusals.log_fields("refused") | self.client_listener.admission.refusals.log_fields("refused")
         # Over the enum, not the dict: the Router's thread adds to that meanwhile.
--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -500,7 +500,7 @@
         self.first_byte_after, self.first_byte_spread = float(FIRST_BYTE), FIRST_BYTE / 2
         self.txns, self.alarms = {}, {}  # by number; by label
         self.last_label, self.retries, self.probed_at, self.notes = 0, RETRY_MOST, 0, False
-        self.gave_up: dict[GiveUp, int] = {}  # requests given up, by reason
+        self.give_up_counts: dict[GiveUp, int] = {}  # requests given up, by reason
 
     # A txn's way.
 
@@ -644,7 +644,7 @@
 
     def give_up(self, txn: Txn, why: GiveUp) -> None:
         """The final answer, at once."""
-        self.gave_up[why] = self.gave_up.get(why, 0) + 1
+        self.give_up_counts[why] = self.give_up_counts.get(why, 0) + 1
         self.sizes[txn.rule_at].ended(txn.work, False)
         if self.may_reject(txn):
             self.host.reject(txn.ident, int(self.longest_come_back * self.random.uniform(0.3, 1.0)))
