--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -496,7 +496,7 @@
         self.works = [float(FIRST_WORK)] * len(rules)  # mean sending times, learned
         self.sizes = [Sizes() for _ in rules]
         self.spreads = [FIRST_WORK / 2] * len(rules)  # their mean deviation, where sizes are not told
-        self.mean_work, self.mean_importance = float(FIRST_WORK), 1.0
+        self.mean_transfer_time, self.mean_importance = float(FIRST_WORK), 1.0
         self.first_byte_after, self.first_byte_spread = float(FIRST_BYTE), FIRST_BYTE / 2
         self.txns, self.alarms = {}, {}  # by number; by label
         self.last_label, self.retries, self.probed_at, self.notes = 0, RETRY_MOST, 0, False
@@ -517,7 +517,7 @@
         self.retries = min(RETRY_MOST, self.retries + RETRY_SHARE)
         if rule.never_kept:  # nothing to share: straight through a cache to the origin
             return self.send(txn)
-        self.mean_work += (work - self.mean_work) * LEARN
+        self.mean_transfer_time += (work - self.mean_transfer_time) * LEARN
         self.mean_importance += (rule.importance - self.mean_importance) * LEARN
         if self.probes and self.pool.caches and now - self.probed_at >= PROBE_GAP:
             self.probed_at, probed = now, self.random.choice(self.pool.caches)
@@ -557,7 +557,7 @@
         if now >= txn.limit_at or len(txn.hops) >= self.hop_limit:
             return self.give_up(txn, GiveUp.OUT_OF_TIME if now >= txn.limit_at else GiveUp.ATTEMPTS_SPENT)
         mean = max(self.works[txn.rule_at], txn.work)
-        worth = rule.importance / self.mean_importance * self.mean_work / max(txn.work, MS)
+        worth = rule.importance / self.mean_importance * self.mean_transfer_time / max(txn.work, MS)
         sizes = self.sizes[txn.rule_at]
         if worth < 1 and sizes.lately and sizes.short(txn.work):
             worth = 1.0  # no less than the others'
