--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -75,7 +75,7 @@
     rating: float = 1.0
     kind: int = 0
     cell: int = 0
-    out: dict = made(dict)  # hops out there, oldest first
+    in_flight: dict = made(dict)  # hops out there, oldest first
     feeds: dict = made(dict)  # hops out elsewhere that name it as their source
     fills: tuple = (0.0, 0)  # how many of `out` are being filled; when it last looked through them
     fits: float = FITS_FIRST  # how many of this router's transfers run there at full pace
@@ -103,7 +103,7 @@
     filling: float  # how likely it is to be filled
     charged: float  # what the source's cold budget was charged
     fetch: bool  # the source may ask the origin
-    out: bool = True
+    in_flight: bool = True
     ran: bool = True  # may have run
     dropped: bool = False  # cancelled by this router
     erred: bool = False  # speaks against its server and source if another serves the txn
@@ -267,7 +267,7 @@
             self.link_fits = LINK_FIRST * sum(s.fits for s in self.servers.values() if s.zone == self.zone)
         here = sorted([s for s in self.servers.values() if s.state != "gone"], key=BY_NAME)
         if len(here) < len(self.servers):
-            self.servers = {n: s for n, s in self.servers.items() if s.state != "gone" or s.out or s.feeds}
+            self.servers = {n: s for n, s in self.servers.items() if s.state != "gone" or s.in_flight or s.feeds}
         ranks = list(map(RANK, here))
         if ranks == self.ranks:  # states and restarts leave the orders as they are
             return
@@ -342,7 +342,7 @@
         return [p for p in (self.parents if s in self.parents else self.caches) if p is not s]
 
     def healthy(self, s: Server, now: int) -> bool:
-        return not s.ejected_until or (now >= s.ejected_until and not s.out and not s.feeds)
+        return not s.ejected_until or (now >= s.ejected_until and not s.in_flight and not s.feeds)
 
     def eject(self, s: Server, now: int, why: str) -> None:
         s.fails = max(s.fails, 0.6 * FAIL_LIMIT)  # one answer clears silence
@@ -376,11 +376,11 @@
 
     def filling(self, s: Server, now: int) -> float:
         """How many hops out are being filled; looked through the less often the more are out."""
-        if now - s.fills[1] >= LOOK_GAP * len(s.out):
-            for h in s.out.values():
+        if now - s.fills[1] >= LOOK_GAP * len(s.in_flight):
+            for h in s.in_flight.values():
                 late = h.filling and now - h.sent > 1.2 * self.hit_time(h, now)
                 h.counted = FILL_LATE if late else h.filling
-            s.fills = (sum(h.counted for h in s.out.values()) if s.out else 0.0, now)
+            s.fills = (sum(h.counted for h in s.in_flight.values()) if s.in_flight else 0.0, now)
         return s.fills[0]
 
     def fills_change(self, s: Server, by: float) -> None:
@@ -423,7 +423,7 @@
     def link_crowding(self, now: int, more: float) -> float:
         told = self.link_told if self.link_told_at and now - self.link_told_at < TOLD_SPAN else 0.0
         if now - self.fills_at >= LOOK_GAP:  # between looks it is counted on by hops that begin and end
-            self.fills, self.fills_at = sum([self.filling(s, now) for s in self.caches if s.out]), now
+            self.fills, self.fills_at = sum([self.filling(s, now) for s in self.caches if s.in_flight]), now
         return max(told, self.all_over(self.fills + more, self.link_fits))
 
     def cache_for(self, order, obj, part, now, mean, crowd, avoid, follow, allowed) -> Server | None:
@@ -431,7 +431,7 @@
         if order and follow is None and allowed is None and not avoid:
             home = order[0]  # the ordinary case of all that follows: it is well and has room
             if home.state == "up" and not home.ejected_until and not self.is_cold(home, now):
-                own = self.all_over(len(home.out) + 1, home.fits)  # fills that hold up would count for less
+                own = self.all_over(len(home.in_flight) + 1, home.fits)  # fills that hold up would count for less
                 if max(own, SEEN_LAG * self.seen(home, now)) <= min(crowd, SPILL_NEAR):
                     return home
         link = self.link_crowding(now, 0)
@@ -442,7 +442,7 @@
 
         def crowding(s: Server) -> float:
             idle = self.filling(s, now) * max(1 - 1 / max(1.0, link), self.fill_wait)  # fills held up
-            return max(self.all_over(len(s.out) + 1 - idle, s.fits), SEEN_LAG * self.seen(s, now))
+            return max(self.all_over(len(s.in_flight) + 1 - idle, s.fits), SEEN_LAG * self.seen(s, now))
 
         if follow in fit and crowding(follow) <= crowd:
             return follow  # where the leader went there is a fill to join
@@ -552,7 +552,7 @@
     def send(self, txn: Txn, known: bool = False, leader: Txn | None = None) -> None:
         """Send the txn on its next hop (`known`: to hit, or to join its leader's fill), or end it at once."""
         now, rule = self.host.now(), txn.rule
-        if txn.ended or txn.hops and any(h.out for h in txn.hops):
+        if txn.ended or txn.hops and any(h.in_flight for h in txn.hops):
             return None
         if now >= txn.limit_at or len(txn.hops) >= self.hop_limit:
             return self.give_up(txn, GiveUp.OUT_OF_TIME if now >= txn.limit_at else GiveUp.ATTEMPTS_SPENT)
@@ -603,11 +603,11 @@
             go_by = min(go_by, fleet.span_ends(server, now))
         if txn.hops and rule.kind == "keyed":
             go_by = min(go_by, last_repeat(rule, [h for h in txn.hops if h.ran]))
-        hop = Hop(txn.ident, len(txn.hops), server, source, now, txn.work, len(server.out), filling, charged, fetch, counted=filling)
+        hop = Hop(txn.ident, len(txn.hops), server, source, now, txn.work, len(server.in_flight), filling, charged, fetch, counted=filling)
         fleet.fills_change(server, filling)
-        server.heard = server.heard if server.out else now  # nothing was owed until now
+        server.heard = server.heard if server.in_flight else now  # nothing was owed until now
         txn.hops.append(hop)
-        server.out[txn.ident, hop.number] = hop
+        server.in_flight[txn.ident, hop.number] = hop
         if source is not None:
             source.tokens -= charged
             source.feeds[txn.ident, hop.number] = hop
@@ -627,7 +627,7 @@
             fetch,
             go_by,
         )  # a hit that renews is a fill, too
-        hop.due = self.at(now + self.patience(hop, now, len(server.out)), self.hop_due, hop)
+        hop.due = self.at(now + self.patience(hop, now, len(server.in_flight)), self.hop_due, hop)
 
     def bearable_crowd(self, txn: Txn, now: int) -> float:
         """The crowd at which a large request of this rule still ends in the time that is left: guards the largest, whose size nobody
@@ -656,7 +656,7 @@
         """The txn has its final answer. Its list moves on."""
         txn.ended = True
         self.leave_list(txn)
-        if txn.hops and txn.hops[-1].out:
+        if txn.hops and txn.hops[-1].in_flight:
             self.drop(txn.hops[-1])
         else:
             self.txns.pop(txn.ident, None)
@@ -685,13 +685,13 @@
         self, ident: int, number: int, result: str, took: int, final: bool, note: int, waited: int | None, load: dict | None
     ) -> None:
         txn, now = self.txns.get(ident), self.host.now()
-        if txn is None or number >= len(txn.hops) or not txn.hops[number].out:
+        if txn is None or number >= len(txn.hops) or not txn.hops[number].in_flight:
             return
         hop = txn.hops[number]
-        hop.out, hop.ran = False, result not in NEVER_RAN
+        hop.in_flight, hop.ran = False, result not in NEVER_RAN
         if self.alarms.pop(hop.due, None) is not None:
             self.host.cancel_alarm(hop.due)
-        hop.server.out.pop((ident, number), None)
+        hop.server.in_flight.pop((ident, number), None)
         self.pool.fills_change(hop.server, -hop.counted)
         if hop.source is not None:
             hop.source.feeds.pop((ident, number), None)
@@ -740,7 +740,7 @@
                     self.pool.judge(h.source, 1.0, now)
             self.pool.carried(server, hop.work, now)
             self.pool.judge(server, 0.0, now)
-            beside = (hop.beside + len(server.out)) / 2 + 1
+            beside = (hop.beside + len(server.in_flight)) / 2 + 1
             was = self.pool.seen(server, now)
             if (
                 txn.sized
@@ -797,16 +797,16 @@
     def hop_due(self, hop: Hop) -> None:
         """Guards against caches that answer nothing, and sources that send nothing while others do."""
         now, server, source = self.host.now(), hop.server, hop.source
-        if not hop.out or hop.dropped:
+        if not hop.in_flight or hop.dropped:
             return
-        if now - max(server.heard, hop.sent) >= self.patience(hop, now, len(server.out)):
+        if now - max(server.heard, hop.sent) >= self.patience(hop, now, len(server.in_flight)):
             if self.pool.share < OBJECT_HOMES and (hop.filling or self.txns[hop.txn].rule.never_kept):
                 # Else only fills that come in time are learned from: a slow source is never known as slow.
                 late = max(0, now - hop.sent - hop.work - self.first_byte_after)
                 self.first_byte_after += late * LATE_LEARN
             if now >= server.ejected_until:
                 self.pool.eject(server, now, "silent")
-            for other in list(server.out.values()):
+            for other in list(server.in_flight.values()):
                 if now - other.sent > QUIET_LEAST:
                     self.drop(other)
             return
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -189,7 +189,7 @@
         """The Router counts an attempt as out that was never handed over: its end is told here, for nobody else will."""
         txn = self.router.txns.get(ident)
         attempt = txn.hops[-1] if txn is not None and txn.hops else None
-        if attempt is not None and attempt.out and (ident, attempt.number) not in self.hops:
+        if attempt is not None and attempt.in_flight and (ident, attempt.number) not in self.hops:
             self.router.hop_ended(ident, attempt.number, "unsent", 0, True, 0, None, None)
 
     def answer_overdue(self) -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -382,10 +382,10 @@
     for ident in range(120):
         day.arrive(ident, obj=f"o{ident}")
     cache = day.router.pool.servers["c0"]
-    assert len(cache.out) == 120 and len(looks) < 4 * 120  # one or two of each hop's own, and few looks
-    assert cache.fills[0] == pytest.approx(sum(h.counted for h in cache.out.values()))
+    assert len(cache.in_flight) == 120 and len(looks) < 4 * 120  # one or two of each hop's own, and few looks
+    assert cache.fills[0] == pytest.approx(sum(h.counted for h in cache.in_flight.values()))
     day.pass_time(200 * MS)
-    assert day.router.pool.filling(cache, day.clock) == pytest.approx(sum(h.counted for h in cache.out.values()))
+    assert day.router.pool.filling(cache, day.clock) == pytest.approx(sum(h.counted for h in cache.in_flight.values()))
 
 
 def test_orders_are_kept_while_the_list_of_servers_stays_and_made_anew_when_it_changes():
