--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -76,7 +76,7 @@
     kind: int = 0
     cell: int = 0
     in_flight: dict = made(dict)  # hops out there, oldest first
-    feeds: dict = made(dict)  # hops out elsewhere that name it as their source
+    sourced_hops: dict = made(dict)  # hops out elsewhere that name it as their source
     fills: tuple = (0.0, 0)  # how many of `out` are being filled; when it last looked through them
     fits: float = FITS_FIRST  # how many of this router's transfers run there at full pace
     rate: tuple = (0.0, 0)  # sending time a second that it lately did for this router, as of when
@@ -267,7 +267,7 @@
             self.link_fits = LINK_FIRST * sum(s.fits for s in self.servers.values() if s.zone == self.zone)
         here = sorted([s for s in self.servers.values() if s.state != "gone"], key=BY_NAME)
         if len(here) < len(self.servers):
-            self.servers = {n: s for n, s in self.servers.items() if s.state != "gone" or s.in_flight or s.feeds}
+            self.servers = {n: s for n, s in self.servers.items() if s.state != "gone" or s.in_flight or s.sourced_hops}
         ranks = list(map(RANK, here))
         if ranks == self.ranks:  # states and restarts leave the orders as they are
             return
@@ -342,7 +342,7 @@
         return [p for p in (self.parents if s in self.parents else self.caches) if p is not s]
 
     def healthy(self, s: Server, now: int) -> bool:
-        return not s.ejected_until or (now >= s.ejected_until and not s.in_flight and not s.feeds)
+        return not s.ejected_until or (now >= s.ejected_until and not s.in_flight and not s.sourced_hops)
 
     def eject(self, s: Server, now: int, why: str) -> None:
         s.fails = max(s.fails, 0.6 * FAIL_LIMIT)  # one answer clears silence
@@ -610,7 +610,7 @@
         server.in_flight[txn.ident, hop.number] = hop
         if source is not None:
             source.tokens -= charged
-            source.feeds[txn.ident, hop.number] = hop
+            source.sourced_hops[txn.ident, hop.number] = hop
         # A copy past its fresh time earns less: only after a failed fill, or while the way in is full.
         span = rule.fresh + rule.grace if txn.past_fresh and rule.fresh and rule.grace else rule.fresh
         age = self.purges.oldest_copy(now, txn.obj, txn.group, span) or (span if span > rule.fresh else 0)
@@ -694,7 +694,7 @@
         hop.server.in_flight.pop((ident, number), None)
         self.pool.fills_change(hop.server, -hop.counted)
         if hop.source is not None:
-            hop.source.feeds.pop((ident, number), None)
+            hop.source.sourced_hops.pop((ident, number), None)
         self.learn(txn, hop, result, took, note, waited, now)
         self.pool.told(hop.server, load, now)
         if txn.ended:
@@ -724,7 +724,7 @@
         if source is not None and note in (*FILLS, SOURCE_REFUSED, ORIGIN_FAILED):
             source.heard, source.missed = now, source.missed // 2
             for peer in self.pool.peers(source) if len(self.pool.parents) > 1 else ():
-                peer.missed += bool(peer.feeds)
+                peer.missed += bool(peer.sourced_hops)
         elif source is not None and note in (HIT, JOINED, PAST_FRESH):
             if (hop.sent - source.started) // self.pool.fall_span == source.tokens_for:  # else it is over
                 source.tokens += hop.charged  # the source was not asked
@@ -815,7 +815,9 @@
                 source.missed >= MISSED_FILLS
                 and not source.ejected_until
                 and LATE_FILLS
-                <= sum(now - max(h.sent, source.heard) >= self.patience(h, now, len(source.feeds)) for h in source.feeds.values())
+                <= sum(
+                    now - max(h.sent, source.heard) >= self.patience(h, now, len(source.sourced_hops)) for h in source.sourced_hops.values()
+                )
             ):
                 self.pool.eject(source, now, "its fills do not come")
             if source.ejected_until:
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -138,7 +138,7 @@
         counts, servers = {}, self.route.router.pool.servers
         for name in machines:
             server = servers.get(name)
-            counts[name] = len(server.in_flight) + len(server.feeds) if server is not None else 0
+            counts[name] = len(server.in_flight) + len(server.sourced_hops) if server is not None else 0
         return counts
 
     def request_loads(self, done: Callable[[dict, tuple], None]) -> None:
