--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -78,7 +78,7 @@
     in_flight: dict = made(dict)  # hops out there, oldest first
     sourced_hops: dict = made(dict)  # hops out elsewhere that name it as their source
     fills: tuple = (0.0, 0)  # how many of `out` are being filled; when it last looked through them
-    fits: float = FITS_FIRST  # how many of this router's transfers run there at full pace
+    capacity: float = FITS_FIRST  # how many of this router's transfers run there at full pace
     rate: tuple = (0.0, 0)  # sending time a second that it lately did for this router, as of when
     broke: int = 0  # when a connection to it last broke under hops
     heard: int = 0  # when it last answered anything, or a fill from it came
@@ -249,11 +249,11 @@
         s = self.servers.get(name)
         if s is None:
             seal = blake2b(key=name.encode()[:64], digest_size=8)
-            s = self.servers[name] = Server(name, seal, fits=FITS_FIRST * self.share)
+            s = self.servers[name] = Server(name, seal, capacity=FITS_FIRST * self.share)
         if started != s.started:  # a new process: empty, cold, and nothing held against it
             s.fails, s.ejected_until, s.ejections, s.tokens_for, s.crowd = 0.0, 0, 0, -1, (0.0, 0)
         if self.size_trust and (rating != s.rating or started != s.started or s.state == "gone"):
-            s.fits = rating * self.share
+            s.capacity = rating * self.share
         s.state, s.started, s.zone, s.rating, s.kind, s.cell = state, started, zone, rating, kind, cell
         if self.listed is not None:
             self.listed.add(name)
@@ -264,7 +264,7 @@
                 if s.name not in self.listed:
                     s.state = "gone"  # absence from a complete list is a removal
         if not self.link_fits:  # not told: a first guess, learned from there
-            self.link_fits = LINK_FIRST * sum(s.fits for s in self.servers.values() if s.zone == self.zone)
+            self.link_fits = LINK_FIRST * sum(s.capacity for s in self.servers.values() if s.zone == self.zone)
         here = sorted([s for s in self.servers.values() if s.state != "gone"], key=BY_NAME)
         if len(here) < len(self.servers):
             self.servers = {n: s for n, s in self.servers.items() if s.state != "gone" or s.in_flight or s.sourced_hops}
@@ -364,8 +364,8 @@
     def transferred(self, s: Server, work: int, took: int, beside: float) -> None:
         """Learn from a hit how many transfers fit: their number, times the share of full pace each had."""
         pace = work / max(work, took - 20 * MS)
-        if self.share >= OBJECT_HOMES and (beside >= 1.5 if pace < 0.85 else beside > s.fits):
-            s.fits = max(0.5, s.fits + (beside * pace - s.fits) * FITS_STEP)
+        if self.share >= OBJECT_HOMES and (beside >= 1.5 if pace < 0.85 else beside > s.capacity):
+            s.capacity = max(0.5, s.capacity + (beside * pace - s.capacity) * FITS_STEP)
 
     def origin_late(self, wait: int) -> bool:
         """Guards an origin that all push over together: far slower than usual, it is asked by few, too."""
@@ -388,7 +388,7 @@
         self.fills += by
 
     def hit_time(self, hop: Hop, now: int) -> float:
-        return hop.work * max(1.0, hop.beside / max(1.0, hop.server.fits), self.seen(hop.server, now))
+        return hop.work * max(1.0, hop.beside / max(1.0, hop.server.capacity), self.seen(hop.server, now))
 
     def all_over(self, own: float, fits: float) -> float:
         """The crowd of all routers, by this one's own count, less what chance may have brought it of that."""
@@ -431,7 +431,7 @@
         if order and follow is None and allowed is None and not avoid:
             home = order[0]  # the ordinary case of all that follows: it is well and has room
             if home.state == "up" and not home.ejected_until and not self.is_cold(home, now):
-                own = self.all_over(len(home.in_flight) + 1, home.fits)  # fills that hold up would count for less
+                own = self.all_over(len(home.in_flight) + 1, home.capacity)  # fills that hold up would count for less
                 if max(own, SEEN_LAG * self.seen(home, now)) <= min(crowd, SPILL_NEAR):
                     return home
         link = self.link_crowding(now, 0)
@@ -442,7 +442,7 @@
 
         def crowding(s: Server) -> float:
             idle = self.filling(s, now) * max(1 - 1 / max(1.0, link), self.fill_wait)  # fills held up
-            return max(self.all_over(len(s.in_flight) + 1 - idle, s.fits), SEEN_LAG * self.seen(s, now))
+            return max(self.all_over(len(s.in_flight) + 1 - idle, s.capacity), SEEN_LAG * self.seen(s, now))
 
         if follow in fit and crowding(follow) <= crowd:
             return follow  # where the leader went there is a fill to join
@@ -751,7 +751,7 @@
                 self.pool.saw(server, max(0.0, was + (max(slow, min(was, 1.0)) - was) * PACE_STEP), now)
                 self.pool.transferred(server, hop.work, took, beside)
             elif not txn.sized and (note == HIT or self.noteless and self.learns_noteless()):
-                alone = max(0, took - 20 * MS) * min(1.0, server.fits / beside)  # less what others took of it
+                alone = max(0, took - 20 * MS) * min(1.0, server.capacity / beside)  # less what others took of it
                 off = alone - self.works[txn.rule_at]
                 self.works[txn.rule_at] += off * LEARN
                 self.spreads[txn.rule_at] += (abs(off) - self.spreads[txn.rule_at]) * LEARN
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -80,4 +80,4 @@
         day.arrive(ident, obj=f"o{ident}", kb=0, left=left_s * SECOND)
     (cache,) = day.router.pool.caches
     large = 1 + 2 * deviation_s  # s that a request takes alone where the largest tenth of usual sizes begins
-    assert cache.fits <= len(cache.in_flight) <= cache.fits * left_s / large
+    assert cache.capacity <= len(cache.in_flight) <= cache.capacity * left_s / large
