--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -79,7 +79,7 @@
     sourced_hops: dict = made(dict)  # hops out elsewhere that name it as their source
     fills: tuple = (0.0, 0)  # how many of `out` are being filled; when it last looked through them
     capacity: float = FITS_FIRST  # how many of this router's transfers run there at full pace
-    rate: tuple = (0.0, 0)  # sending time a second that it lately did for this router, as of when
+    transfer_rate: tuple = (0.0, 0)  # sending time a second that it lately did for this router, as of when
     broke: int = 0  # when a connection to it last broke under hops
     heard: int = 0  # when it last answered anything, or a fill from it came
     missed: int = 0  # fills that came from its peers since, halved at each of its own
@@ -302,10 +302,10 @@
         return self.ranked(self.caches, obj if self.share >= OBJECT_HOMES else f"{obj}#{part}")
 
     def carried(self, s: Server, work: float, now: int) -> None:
-        s.rate = (self.rate(s, now) + work / (5 * SECOND), now)
+        s.transfer_rate = (self.transfer_rate(s, now) + work / (5 * SECOND), now)
 
-    def rate(self, s: Server, now: int) -> float:
-        return s.rate[0] * math.exp((s.rate[1] - now) / (5 * SECOND))
+    def transfer_rate(self, s: Server, now: int) -> float:
+        return s.transfer_rate[0] * math.exp((s.transfer_rate[1] - now) / (5 * SECOND))
 
     def is_cold(self, s: Server, now: int) -> bool:
         return bool(s.started) and now - s.started < self.cold[s.kind == self.parent_kind][2]
@@ -327,7 +327,7 @@
         if s.tokens_for != span:
             mine = s.rating * self.size_trust * share
             if not mine:  # sizes are not told: what warm peers, or the caches before, did for this router
-                rates = [self.rate(p, now) for p in self.peers(s) if not self.is_cold(p, now)]
+                rates = [self.transfer_rate(p, now) for p in self.peers(s) if not self.is_cold(p, now)]
                 mine = max(LEAST_RATE, sum(rates) / len(rates) if rates else 0.0)
             able = mine * (start + (1 - start) * span * self.fall_span / ramp) * min(multiple * COLD_USE, 1.0)
             whole, part = divmod(able * self.fall_span / charge, 1.0)
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -28,7 +28,7 @@
 
 MIN_LOAD_SHARE = 0.5  # a returned machine has warmed up once it carries this share of the load expected of it
 MAX_WARM_UP_FACTOR = 2.0  # after this multiple of the slow start, a machine that gets few requests counts as warmed up
-LOAD_DECAY_NS = 5_000_000_000  # time in which most of an earlier load fades from the mean (`decide.ServerPool.rate`)
+LOAD_DECAY_NS = 5_000_000_000  # time in which most of an earlier load fades from the mean (`decide.ServerPool.transfer_rate`)
 IDLE_UTILIZATION = 0.05  # load over capacity of a location; below this, loads say nothing about a machine's share
 MIN_NOTES_INTERVAL_NS = 2_000_000_000  # between two documents that differ only in their notes for the operator
 MAX_PLAN_AGE_NS = 5_000_000_000  # a plan is made again after this time though its inputs are the same
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -161,7 +161,7 @@
             )
             share = fleet.cold[is_parent][0]
             capacity = server.rating if is_parent else max(server.capacity / share, 0.01)
-            load = fleet.rate(server, now)
+            load = fleet.transfer_rate(server, now)
             fills = load * SECOND / max(1.0, self.route.router.mean_transfer_time)
             loads[server.name] = [round_figure(capacity), round_figure(load), round_figure(fills), condition]
         counts, (rejected, finished, counted_at) = self.route.open_txns.counts, self.total_counts
