--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -307,7 +307,7 @@
     def transfer_rate(self, s: Server, now: int) -> float:
         return s.transfer_rate[0] * math.exp((s.transfer_rate[1] - now) / (5 * SECOND))
 
-    def is_cold(self, s: Server, now: int) -> bool:
+    def in_slow_start(self, s: Server, now: int) -> bool:
         return bool(s.started) and now - s.started < self.cold[s.kind == self.parent_kind][2]
 
     def span_ends(self, s: Server, now: int) -> int:
@@ -320,14 +320,14 @@
         """Guards a freshly started server: this router's part of what all may send it in each span. A part
         smaller than one txn is rounded by chance, so that many routers together come out at the budget. A
         span that began before this process did is not spent again: the one before it may have done so."""
-        if not self.is_cold(s, now) or s.kind == self.origin_kind:
+        if not self.in_slow_start(s, now) or s.kind == self.origin_kind:
             return True
         share, start, ramp, multiple = self.cold[s.kind == self.parent_kind]
         span = max(0, now - s.started) // self.fall_span
         if s.tokens_for != span:
             mine = s.rating * self.size_trust * share
             if not mine:  # sizes are not told: what warm peers, or the caches before, did for this router
-                rates = [self.transfer_rate(p, now) for p in self.peers(s) if not self.is_cold(p, now)]
+                rates = [self.transfer_rate(p, now) for p in self.peers(s) if not self.in_slow_start(p, now)]
                 mine = max(LEAST_RATE, sum(rates) / len(rates) if rates else 0.0)
             able = mine * (start + (1 - start) * span * self.fall_span / ramp) * min(multiple * COLD_USE, 1.0)
             whole, part = divmod(able * self.fall_span / charge, 1.0)
@@ -430,7 +430,7 @@
         """The home, first of `order`, or as far down it as health, budgets and crowding make it go."""
         if order and follow is None and allowed is None and not avoid:
             home = order[0]  # the ordinary case of all that follows: it is well and has room
-            if home.state == "up" and not home.ejected_until and not self.is_cold(home, now):
+            if home.state == "up" and not home.ejected_until and not self.in_slow_start(home, now):
                 own = self.all_over(len(home.in_flight) + 1, home.capacity)  # fills that hold up would count for less
                 if max(own, SEEN_LAG * self.seen(home, now)) <= min(crowd, SPILL_NEAR):
                     return home
@@ -457,7 +457,7 @@
     def source_for(self, obj, now, charge, avoid) -> Server | None:
         """The first parent of the shared hash, the second while it fails; then the origin."""
         ranked = self.ranked(self.parents, obj)
-        if ranked and ranked[0].state == "up" and not ranked[0].ejected_until and not avoid and not self.is_cold(ranked[0], now):
+        if ranked and ranked[0].state == "up" and not ranked[0].ejected_until and not avoid and not self.in_slow_start(ranked[0], now):
             return ranked[0]  # the ordinary case of what follows
         if not ranked and self.origin is not None:
             return self.origin if self.origin.state == "up" else None
@@ -521,7 +521,7 @@
         self.mean_importance += (rule.importance - self.mean_importance) * LEARN
         if self.probes and self.pool.caches and now - self.probed_at >= PROBE_GAP:
             self.probed_at, probed = now, self.random.choice(self.pool.caches)
-            if not self.pool.is_cold(probed, now):  # a probe is work too, and in no budget
+            if not self.pool.in_slow_start(probed, now):  # a probe is work too, and in no budget
                 self.host.probe(probed.name)
         flight = self.collapsing.flights.get((obj, part))
         if flight is None:
@@ -584,7 +584,7 @@
                 and fleet.siblings
                 and home.state == "up"
                 and fleet.healthy(home, now)
-                and not fleet.is_cold(home, now)
+                and not fleet.in_slow_start(home, now)
                 and home.name not in txn.avoid
             ):
                 source, filling = home, 0.0  # a spread part comes from its home, not over the way in
@@ -596,9 +596,9 @@
             origin = fleet.origin  # where it fails, parents give what they hold and few txns try it
             if origin is not None and origin.fails >= ORIGIN_LIMIT and self.random.random() > max(ORIGIN_TRY, 1 - origin.fails):
                 source, fetch, txn.past_fresh = server if source is origin else source, False, True
-            charged = mean if source is not None and source.started and fleet.is_cold(source, now) else 0.0
+            charged = mean if source is not None and source.started and fleet.in_slow_start(source, now) else 0.0
         go_by = fleet.span_ends(source, now) if charged else NEVER
-        if server.started and fleet.is_cold(server, now):
+        if server.started and fleet.in_slow_start(server, now):
             server.tokens -= mean
             go_by = min(go_by, fleet.span_ends(server, now))
         if txn.hops and rule.kind == "keyed":
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -154,7 +154,7 @@
             is_parent = index >= len(fleet.caches)
             condition = (
                 SLOW_START
-                if fleet.is_cold(server, now)
+                if fleet.in_slow_start(server, now)
                 else HEALTHY
                 if fleet.healthy(server, now) or now >= server.ejected_until
                 else EJECTED
