--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -341,7 +341,7 @@
     def peers(self, s: Server) -> list[Server]:
         return [p for p in (self.parents if s in self.parents else self.caches) if p is not s]
 
-    def healthy(self, s: Server, now: int) -> bool:
+    def is_healthy(self, s: Server, now: int) -> bool:
         return not s.ejected_until or (now >= s.ejected_until and not s.in_flight and not s.sourced_hops)
 
     def eject(self, s: Server, now: int, why: str) -> None:
@@ -436,7 +436,7 @@
                     return home
         link = self.link_crowding(now, 0)
         able = [s for s in order if s.state == "up" and (allowed is None or allowed(s)) and self.has_room(s, now, mean)]
-        fit = [s for s in able if s.name not in avoid and self.healthy(s, now)] or [s for s in able if s.name not in avoid] or able
+        fit = [s for s in able if s.name not in avoid and self.is_healthy(s, now)] or [s for s in able if s.name not in avoid] or able
         if not fit:
             return None
 
@@ -462,7 +462,7 @@
         if not ranked and self.origin is not None:
             return self.origin if self.origin.state == "up" else None
         able = [s for s in ranked if s.state == "up" and s.name not in avoid and self.has_room(s, now, charge)]
-        fit = [s for s in able if self.healthy(s, now)]
+        fit = [s for s in able if self.is_healthy(s, now)]
         origin = [self.origin] if self.origin and self.origin.state == "up" else []
         return next(iter(fit or origin or able), None)
 
@@ -583,7 +583,7 @@
                 server is not home
                 and fleet.siblings
                 and home.state == "up"
-                and fleet.healthy(home, now)
+                and fleet.is_healthy(home, now)
                 and not fleet.in_slow_start(home, now)
                 and home.name not in txn.avoid
             ):
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -156,7 +156,7 @@
                 SLOW_START
                 if fleet.in_slow_start(server, now)
                 else HEALTHY
-                if fleet.healthy(server, now) or now >= server.ejected_until
+                if fleet.is_healthy(server, now) or now >= server.ejected_until
                 else EJECTED
             )
             share = fleet.cold[is_parent][0]
