--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -229,7 +229,7 @@
     ):
         self.zone, self.parent_kind, self.origin_kind = zone, parent_kind, origin_kind
         self.size_trust = 1.0 if sized == "nominal" else 0.0
-        self.cold = {False: (cache_share, *cache_cold), True: (parent_share, *parent_cold)}
+        self.slow_start = {False: (cache_share, *cache_cold), True: (parent_share, *parent_cold)}
         self.fall_span, self.siblings = fall_span, siblings
         self.began = 0  # when this process did, by the Router
         self.share, self.random, self.log = cache_share, random.Random(0), print  # the Router's own
@@ -308,7 +308,7 @@
         return s.transfer_rate[0] * math.exp((s.transfer_rate[1] - now) / (5 * SECOND))
 
     def in_slow_start(self, s: Server, now: int) -> bool:
-        return bool(s.started) and now - s.started < self.cold[s.kind == self.parent_kind][2]
+        return bool(s.started) and now - s.started < self.slow_start[s.kind == self.parent_kind][2]
 
     def span_ends(self, s: Server, now: int) -> int:
         """A hop to a cold server goes out in the span that it was charged to, or, over a late dial, in the
@@ -322,7 +322,7 @@
         span that began before this process did is not spent again: the one before it may have done so."""
         if not self.in_slow_start(s, now) or s.kind == self.origin_kind:
             return True
-        share, start, ramp, multiple = self.cold[s.kind == self.parent_kind]
+        share, start, ramp, multiple = self.slow_start[s.kind == self.parent_kind]
         span = max(0, now - s.started) // self.fall_span
         if s.tokens_for != span:
             mine = s.rating * self.size_trust * share
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -159,7 +159,7 @@
                 if fleet.is_healthy(server, now) or now >= server.ejected_until
                 else EJECTED
             )
-            share = fleet.cold[is_parent][0]
+            share = fleet.slow_start[is_parent][0]
             capacity = server.rating if is_parent else max(server.capacity / share, 0.01)
             load = fleet.transfer_rate(server, now)
             fills = load * SECOND / max(1.0, self.route.router.mean_transfer_time)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -372,7 +372,7 @@
         told, at = self.starts.pop(s.name, UNKNOWN)
         if s.started != told:
             fleet = self.router.pool
-            ramp = fleet.cold[self.site.kinds.index(s.kind) == fleet.parent_kind][2]
+            ramp = fleet.slow_start[self.site.kinds.index(s.kind) == fleet.parent_kind][2]
             at = latest_possible_time(s.started, self.clock, live, ramp) if s.started else 0
         if s.state != "gone":
             self.starts[s.name] = s.started, at
