--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -316,7 +316,7 @@
         spans = max(0, now - s.started) // self.fall_span + 1.5
         return s.started + int(spans * self.fall_span)
 
-    def has_room(self, s: Server, now: int, charge: float) -> bool:
+    def has_budget(self, s: Server, now: int, charge: float) -> bool:
         """Guards a freshly started server: this router's part of what all may send it in each span. A part
         smaller than one txn is rounded by chance, so that many routers together come out at the budget. A
         span that began before this process did is not spent again: the one before it may have done so."""
@@ -435,7 +435,7 @@
                 if max(own, SEEN_LAG * self.seen(home, now)) <= min(crowd, SPILL_NEAR):
                     return home
         link = self.link_crowding(now, 0)
-        able = [s for s in order if s.state == "up" and (allowed is None or allowed(s)) and self.has_room(s, now, mean)]
+        able = [s for s in order if s.state == "up" and (allowed is None or allowed(s)) and self.has_budget(s, now, mean)]
         fit = [s for s in able if s.name not in avoid and self.is_healthy(s, now)] or [s for s in able if s.name not in avoid] or able
         if not fit:
             return None
@@ -461,7 +461,7 @@
             return ranked[0]  # the ordinary case of what follows
         if not ranked and self.origin is not None:
             return self.origin if self.origin.state == "up" else None
-        able = [s for s in ranked if s.state == "up" and s.name not in avoid and self.has_room(s, now, charge)]
+        able = [s for s in ranked if s.state == "up" and s.name not in avoid and self.has_budget(s, now, charge)]
         fit = [s for s in able if self.is_healthy(s, now)]
         origin = [self.origin] if self.origin and self.origin.state == "up" else []
         return next(iter(fit or origin or able), None)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -417,7 +417,7 @@
     assert charged
     if later:
         day.clock += SPAN
-        day.router.pool.has_room(parent, day.clock, 100 * MS)
+        day.router.pool.has_budget(parent, day.clock, 100 * MS)
         left, charged = parent.tokens, 0.0
     day.end(1, "completed", HIT)
     assert parent.tokens == left + charged
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -50,7 +50,7 @@
     3: "from fieldspur.net.router_host import RouterHost\nfrom fieldspur.record import replace\nold = RouterHost.list_received\n"
     "RouterHost.list_received = lambda self, change, now=False: old(self, replace(change, servers=tuple(\n"
     "    replace(s, state='up') for s in change.servers)), now)\n",
-    4: "from fieldspur.decide import ServerPool\nServerPool.has_room = lambda *about: True\n"
+    4: "from fieldspur.decide import ServerPool\nServerPool.has_budget = lambda *about: True\n"
     "ServerPool.in_slow_start = lambda *about: False\n"
     "ServerPool.seen = lambda *about: 0.0\nServerPool.all_over = lambda *about: 0.0\n",
     5: "from fieldspur.decide import Purges\nPurges.note = lambda *about: None\n",
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -106,7 +106,7 @@
     for now in range(clock, clock + RAMP, 20 * MS):
         for fleet in fleets:  # the warm one is at its limit, and all ask the cold one for all that they may
             fleet.carried(fleet.servers["warm"], int(20 * MS * rating / routers), now)
-            while fleet.has_room(fleet.servers["cold"], now, 300 * MS):
+            while fleet.has_budget(fleet.servers["cold"], now, 300 * MS):
                 fleet.servers["cold"].tokens -= 300 * MS
                 asked.append(now)
         able = rating * (COLD + (1 - COLD) * max(0, now - SPAN - clock) / RAMP)
@@ -151,7 +151,7 @@
                 fleets[n] = begin(now + n, now)
         for fleet in fleets:
             cold = fleet.servers["cold"]
-            while fleet.has_room(cold, now, 300 * MS):
+            while fleet.has_budget(cold, now, 300 * MS):
                 cold.tokens -= 300 * MS
                 if max(now, fleet.up_at) <= fleet.span_ends(cold, now):
                     asked.append(max(now, fleet.up_at))
