--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -388,14 +388,14 @@
         self.fills += by
 
     def hit_time(self, hop: Hop, now: int) -> float:
-        return hop.work * max(1.0, hop.beside / max(1.0, hop.server.capacity), self.seen(hop.server, now))
+        return hop.work * max(1.0, hop.beside / max(1.0, hop.server.capacity), self.recent_utilization(hop.server, now))
 
     def all_over(self, own: float, fits: float) -> float:
         """The crowd of all routers, by this one's own count, less what chance may have brought it of that."""
         chance = (1 - self.share) * math.sqrt(max(own, 0.0)) if self.share < OBJECT_HOMES else 0.0
         return (own - chance) / max(fits, self.share)
 
-    def seen(self, s: Server, now: int) -> float:
+    def recent_utilization(self, s: Server, now: int) -> float:
         """The crowd at a cache, as lately seen there, and as at the others the longer that is ago."""
         usual = self.crowd and self.crowd * math.exp((self.crowd_at - now) / SEEN_SPAN)
         if not s.crowd[0] and not usual:
@@ -415,7 +415,7 @@
             return
         if "fetching" in load:
             self.link_told, self.link_told_at = load["fetching"] / FILL_PACE, now
-        busy, was = load.get("util", 0.0), self.seen(s, now)
+        busy, was = load.get("util", 0.0), self.recent_utilization(s, now)
         if busy >= BUSY:  # from here on the hops it holds tell, or hits' pace
             busy = load["inflight"] / s.rating if self.size_trust and "inflight" in load else max(1.0, was)
         self.saw(s, was + (busy - was) * PACE_STEP, now)
@@ -432,7 +432,7 @@
             home = order[0]  # the ordinary case of all that follows: it is well and has room
             if home.state == "up" and not home.ejected_until and not self.in_slow_start(home, now):
                 own = self.all_over(len(home.in_flight) + 1, home.capacity)  # fills that hold up would count for less
-                if max(own, SEEN_LAG * self.seen(home, now)) <= min(crowd, SPILL_NEAR):
+                if max(own, SEEN_LAG * self.recent_utilization(home, now)) <= min(crowd, SPILL_NEAR):
                     return home
         link = self.link_crowding(now, 0)
         able = [s for s in order if s.state == "up" and (allowed is None or allowed(s)) and self.has_budget(s, now, mean)]
@@ -442,7 +442,7 @@
 
         def crowding(s: Server) -> float:
             idle = self.filling(s, now) * max(1 - 1 / max(1.0, link), self.fill_wait)  # fills held up
-            return max(self.all_over(len(s.in_flight) + 1 - idle, s.capacity), SEEN_LAG * self.seen(s, now))
+            return max(self.all_over(len(s.in_flight) + 1 - idle, s.capacity), SEEN_LAG * self.recent_utilization(s, now))
 
         if follow in fit and crowding(follow) <= crowd:
             return follow  # where the leader went there is a fill to join
@@ -741,7 +741,7 @@
             self.pool.carried(server, hop.work, now)
             self.pool.judge(server, 0.0, now)
             beside = (hop.beside + len(server.in_flight)) / 2 + 1
-            was = self.pool.seen(server, now)
+            was = self.pool.recent_utilization(server, now)
             if (
                 txn.sized
                 and hop.work > 50 * MS
