--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -390,7 +390,7 @@
     def hit_time(self, hop: Hop, now: int) -> float:
         return hop.work * max(1.0, hop.beside / max(1.0, hop.server.capacity), self.recent_utilization(hop.server, now))
 
-    def all_over(self, own: float, fits: float) -> float:
+    def total_utilization(self, own: float, fits: float) -> float:
         """The crowd of all routers, by this one's own count, less what chance may have brought it of that."""
         chance = (1 - self.share) * math.sqrt(max(own, 0.0)) if self.share < OBJECT_HOMES else 0.0
         return (own - chance) / max(fits, self.share)
@@ -424,14 +424,14 @@
         told = self.link_told if self.link_told_at and now - self.link_told_at < TOLD_SPAN else 0.0
         if now - self.fills_at >= LOOK_GAP:  # between looks it is counted on by hops that begin and end
             self.fills, self.fills_at = sum([self.filling(s, now) for s in self.caches if s.in_flight]), now
-        return max(told, self.all_over(self.fills + more, self.link_fits))
+        return max(told, self.total_utilization(self.fills + more, self.link_fits))
 
     def cache_for(self, order, obj, part, now, mean, crowd, avoid, follow, allowed) -> Server | None:
         """The home, first of `order`, or as far down it as health, budgets and crowding make it go."""
         if order and follow is None and allowed is None and not avoid:
             home = order[0]  # the ordinary case of all that follows: it is well and has room
             if home.state == "up" and not home.ejected_until and not self.in_slow_start(home, now):
-                own = self.all_over(len(home.in_flight) + 1, home.capacity)  # fills that hold up would count for less
+                own = self.total_utilization(len(home.in_flight) + 1, home.capacity)  # fills that hold up would count for less
                 if max(own, SEEN_LAG * self.recent_utilization(home, now)) <= min(crowd, SPILL_NEAR):
                     return home
         link = self.link_crowding(now, 0)
@@ -442,7 +442,7 @@
 
         def crowding(s: Server) -> float:
             idle = self.filling(s, now) * max(1 - 1 / max(1.0, link), self.fill_wait)  # fills held up
-            return max(self.all_over(len(s.in_flight) + 1 - idle, s.capacity), SEEN_LAG * self.recent_utilization(s, now))
+            return max(self.total_utilization(len(s.in_flight) + 1 - idle, s.capacity), SEEN_LAG * self.recent_utilization(s, now))
 
         if follow in fit and crowding(follow) <= crowd:
             return follow  # where the leader went there is a fill to join
