--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -151,7 +151,7 @@
         self.made: OrderedDict[tuple, int] = OrderedDict()  # by object or group
         self.of_all = 0  # when the latest of those was made that bind all objects
 
-    def note(self, now: int, obj, group: int, age: int) -> None:
+    def add(self, now: int, obj, group: int, age: int) -> None:
         """Amortized constant time: each purge is forgotten once."""
         key = (obj, 0) if obj is not None else (None, group)
         self.made[key] = max(now - age, self.made.pop(key, 0))
@@ -843,7 +843,7 @@
             self.give_up(txn, why)
 
     def purged(self, obj: str | None, group: int, age: int) -> None:
-        self.purges.note(self.host.now(), obj, group, age)
+        self.purges.add(self.host.now(), obj, group, age)
 
     def probe_ended(self, server: str, result: str, took: int, load: dict | None) -> None:
         self.pool.told(self.pool.servers.get(server), load, self.host.now())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -53,7 +53,7 @@
     4: "from fieldspur.decide import ServerPool\nServerPool.has_budget = lambda *about: True\n"
     "ServerPool.in_slow_start = lambda *about: False\n"
     "ServerPool.recent_utilization = lambda *about: 0.0\nServerPool.total_utilization = lambda *about: 0.0\n",
-    5: "from fieldspur.decide import Purges\nPurges.note = lambda *about: None\n",
+    5: "from fieldspur.decide import Purges\nPurges.add = lambda *about: None\n",
 }
 
 
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -20,7 +20,7 @@
     def __init__(self):
         self.told = []
 
-    def note(self, now, obj, group, age):
+    def add(self, now, obj, group, age):
         self.told.append((obj, None if obj is not None else group, now - age))
 
     def oldest_copy(self, now, obj, group, fresh):
@@ -35,7 +35,7 @@
             now += chance.choice((0, 1, 300 * MS, 3 * SECOND))
             obj, group = chance.choice((None, "a", "b", "c")), chance.randrange(3)
             age = chance.choice((0, 5 * MS, SPAN, 2 * SPAN, 3 * SPAN))
-            purges.note(now, obj, group, age), rule.note(now, obj, group, age)
+            purges.add(now, obj, group, age), rule.add(now, obj, group, age)
             for asked in ("a", "b", "c", "d"):
                 for family in range(3):
                     fresh = chance.choice((0, SECOND))
@@ -58,7 +58,7 @@
 def test_a_further_purge_costs_the_router_the_same_however_many_bind():
     def fresh():
         purges = Purges(SPAN)
-        return lambda name, n: purges.note(1000 * SECOND + n * MS // 10, name, 0, 0)
+        return lambda name, n: purges.add(1000 * SECOND + n * MS // 10, name, 0, 0)
 
     assert cost(fresh(), 20_000) < BOUND * cost(fresh(), 200)
 
@@ -75,7 +75,7 @@
     monkeypatch.setattr(decide, "MOST_PURGES", 50)
     purges = Purges(SPAN)
     for n in range(200):
-        purges.note(1000 * SECOND + n * MS, f"{n:016x}", n, 0)
+        purges.add(1000 * SECOND + n * MS, f"{n:016x}", n, 0)
     now = 1000 * SECOND + 200 * MS
     assert len(purges.made) <= 50
     for n in range(200):
