--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -221,15 +221,15 @@
         sized: str,
         cache_share: float,
         parent_share: float,
-        cache_cold: tuple,
-        parent_cold: tuple,
+        cache_slow_start: tuple,
+        parent_slow_start: tuple,
         fall_span: int,
         link: float,
         siblings: bool,
     ):
         self.zone, self.parent_kind, self.origin_kind = zone, parent_kind, origin_kind
         self.size_trust = 1.0 if sized == "nominal" else 0.0
-        self.slow_start = {False: (cache_share, *cache_cold), True: (parent_share, *parent_cold)}
+        self.slow_start = {False: (cache_share, *cache_slow_start), True: (parent_share, *parent_slow_start)}
         self.fall_span, self.siblings = fall_span, siblings
         self.began = 0  # when this process did, by the Router
         self.share, self.random, self.log = cache_share, random.Random(0), print  # the Router's own
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -122,7 +122,7 @@
             planner.Bounds(bounds.zone, bounds.all, bounds.both, bounds.headroom, bounds.fills_s, bounds.parents, bounds.at_once),
             settings.unsure == "turn_away",
             max_time_limit,
-            max(site.pool_options["cache_cold"][1], site.pool_options["parent_cold"][1]),
+            max(site.pool_options["cache_slow_start"][1], site.pool_options["parent_slow_start"][1]),
         )
         self.coordinator.requests, self.coordinator.left_members = parse_requests(settings.work, "fleet.work"), list(settings.left)
         if is_voter:
