--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -218,7 +218,7 @@
         zone: int,
         parent_kind: int,
         origin_kind: int,
-        sized: str,
+        rating_quality: str,
         cache_share: float,
         parent_share: float,
         cache_slow_start: tuple,
@@ -228,7 +228,7 @@
         siblings: bool,
     ):
         self.zone, self.parent_kind, self.origin_kind = zone, parent_kind, origin_kind
-        self.size_trust = 1.0 if sized == "nominal" else 0.0
+        self.size_trust = 1.0 if rating_quality == "nominal" else 0.0
         self.slow_start = {False: (cache_share, *cache_slow_start), True: (parent_share, *parent_slow_start)}
         self.fall_span, self.siblings = fall_span, siblings
         self.began = 0  # when this process did, by the Router
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -144,7 +144,7 @@
         zone=zone,
         parent_kind=info.whole("upperKind", least=-1),
         origin_kind=info.whole("rootKind"),
-        sized=conf.text("weights"),
+        rating_quality=conf.text("weights"),
         cache_share=1 / max(1, by_zone[zone]),
         parent_share=1 / max(1, conf.whole("replicasOfMe")),
         cache_slow_start=(sure.number("coldFrom"), sure.whole("rampTimeUs") * US, sure.number("fallMultiple")),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -43,7 +43,7 @@
             zone=1,
             parent_kind=1,
             origin_kind=2,
-            sized=sized,
+            rating_quality=sized,
             cache_share=share,
             parent_share=0.25,
             cache_slow_start=(COLD, RAMP, MULTIPLE),
