--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -223,14 +223,14 @@
         parent_share: float,
         cache_slow_start: tuple,
         parent_slow_start: tuple,
-        fall_span: int,
+        budget_window: int,
         link: float,
         siblings: bool,
     ):
         self.zone, self.parent_kind, self.origin_kind = zone, parent_kind, origin_kind
         self.size_trust = 1.0 if rating_quality == "nominal" else 0.0
         self.slow_start = {False: (cache_share, *cache_slow_start), True: (parent_share, *parent_slow_start)}
-        self.fall_span, self.siblings = fall_span, siblings
+        self.budget_window, self.siblings = budget_window, siblings
         self.began = 0  # when this process did, by the Router
         self.share, self.random, self.log = cache_share, random.Random(0), print  # the Router's own
         self.link_fits = link * cache_share  # fills that this router's share of the way in takes at full pace
@@ -313,8 +313,8 @@
     def span_ends(self, s: Server, now: int) -> int:
         """A hop to a cold server goes out in the span that it was charged to, or, over a late dial, in the
         first half of the next: one taken back is charged again, and many are where dials are late."""
-        spans = max(0, now - s.started) // self.fall_span + 1.5
-        return s.started + int(spans * self.fall_span)
+        spans = max(0, now - s.started) // self.budget_window + 1.5
+        return s.started + int(spans * self.budget_window)
 
     def has_budget(self, s: Server, now: int, charge: float) -> bool:
         """Guards a freshly started server: this router's part of what all may send it in each span. A part
@@ -323,16 +323,16 @@
         if not self.in_slow_start(s, now) or s.kind == self.origin_kind:
             return True
         share, start, ramp, multiple = self.slow_start[s.kind == self.parent_kind]
-        span = max(0, now - s.started) // self.fall_span
+        span = max(0, now - s.started) // self.budget_window
         if s.tokens_for != span:
             mine = s.rating * self.size_trust * share
             if not mine:  # sizes are not told: what warm peers, or the caches before, did for this router
                 rates = [self.transfer_rate(p, now) for p in self.peers(s) if not self.in_slow_start(p, now)]
                 mine = max(LEAST_RATE, sum(rates) / len(rates) if rates else 0.0)
-            able = mine * (start + (1 - start) * span * self.fall_span / ramp) * min(multiple * COLD_USE, 1.0)
-            whole, part = divmod(able * self.fall_span / charge, 1.0)
+            able = mine * (start + (1 - start) * span * self.budget_window / ramp) * min(multiple * COLD_USE, 1.0)
+            whole, part = divmod(able * self.budget_window / charge, 1.0)
             s.tokens, s.tokens_for = charge * (whole + (self.random.random() < part)), span
-            if s.started + span * self.fall_span < self.began:
+            if s.started + span * self.budget_window < self.began:
                 s.tokens = 0.0
         return s.tokens >= charge
 
@@ -726,7 +726,7 @@
             for peer in self.pool.peers(source) if len(self.pool.parents) > 1 else ():
                 peer.missed += bool(peer.sourced_hops)
         elif source is not None and note in (HIT, JOINED, PAST_FRESH):
-            if (hop.sent - source.started) // self.pool.fall_span == source.tokens_for:  # else it is over
+            if (hop.sent - source.started) // self.pool.budget_window == source.tokens_for:  # else it is over
                 source.tokens += hop.charged  # the source was not asked
         hung = result == "timed_out" and hop.filling > 0 and self.pool.usual_crowd(now) < SPILL
         if self.pool.origin is not None and (hung or note in (FILLED_BY_ORIGIN, ORIGIN_FAILED)):
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -149,7 +149,7 @@
         parent_share=1 / max(1, conf.whole("replicasOfMe")),
         cache_slow_start=(sure.number("coldFrom"), sure.whole("rampTimeUs") * US, sure.number("fallMultiple")),
         parent_slow_start=(info.number("upperColdFrom"), info.whole("parentRampUs") * US, info.number("upperFallMultiple")),
-        fall_span=sure.whole("overloadForUs", least=1) * US,
+        budget_window=sure.whole("overloadForUs", least=1) * US,
         link=pipes[zone] / max(1.0, pace),
         siblings=info.text("siblings") != "none",
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -48,7 +48,7 @@
             parent_share=0.25,
             cache_slow_start=(COLD, RAMP, MULTIPLE),
             parent_slow_start=(COLD, RAMP, MULTIPLE),
-            fall_span=SPAN,
+            budget_window=SPAN,
             link=20.0,
             siblings=True,
         )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -93,7 +93,7 @@
             parent_share=1 / routers,
             cache_slow_start=(COLD, RAMP, MULTIPLE),
             parent_slow_start=(COLD, RAMP, MULTIPLE),
-            fall_span=SPAN,
+            budget_window=SPAN,
             link=0.0,
             siblings=False,
         )
@@ -132,7 +132,7 @@
             parent_share=1 / routers,
             cache_slow_start=(COLD, RAMP, MULTIPLE),
             parent_slow_start=(COLD, RAMP, MULTIPLE),
-            fall_span=SPAN,
+            budget_window=SPAN,
             link=0.0,
             siblings=False,
         )
