--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -224,7 +224,7 @@
         cache_slow_start: tuple,
         parent_slow_start: tuple,
         budget_window: int,
-        link: float,
+        link_capacity: float,
         siblings: bool,
     ):
         self.zone, self.parent_kind, self.origin_kind = zone, parent_kind, origin_kind
@@ -233,7 +233,7 @@
         self.budget_window, self.siblings = budget_window, siblings
         self.began = 0  # when this process did, by the Router
         self.share, self.random, self.log = cache_share, random.Random(0), print  # the Router's own
-        self.link_fits = link * cache_share  # fills that this router's share of the way in takes at full pace
+        self.link_fits = link_capacity * cache_share  # fills that this router's share of the way in takes at full pace
         self.link_told, self.link_told_at, self.crowd, self.crowd_at = 0.0, 0, 0.0, 0  # of all routers, here
         self.orders: dict[tuple, list[Server]] = {}  # rendezvous orders of this list
         self.ranks: list[tuple] = []  # what they depend on
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -150,7 +150,7 @@
         cache_slow_start=(sure.number("coldFrom"), sure.whole("rampTimeUs") * US, sure.number("fallMultiple")),
         parent_slow_start=(info.number("upperColdFrom"), info.whole("parentRampUs") * US, info.number("upperFallMultiple")),
         budget_window=sure.whole("overloadForUs", least=1) * US,
-        link=pipes[zone] / max(1.0, pace),
+        link_capacity=pipes[zone] / max(1.0, pace),
         siblings=info.text("siblings") != "none",
     )
     router_options = dict(
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -49,7 +49,7 @@
             cache_slow_start=(COLD, RAMP, MULTIPLE),
             parent_slow_start=(COLD, RAMP, MULTIPLE),
             budget_window=SPAN,
-            link=20.0,
+            link_capacity=20.0,
             siblings=True,
         )
         self.router = Router(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -94,7 +94,7 @@
             cache_slow_start=(COLD, RAMP, MULTIPLE),
             parent_slow_start=(COLD, RAMP, MULTIPLE),
             budget_window=SPAN,
-            link=0.0,
+            link_capacity=0.0,
             siblings=False,
         )
         fleet.random = random.Random(seed)
@@ -133,7 +133,7 @@
             cache_slow_start=(COLD, RAMP, MULTIPLE),
             parent_slow_start=(COLD, RAMP, MULTIPLE),
             budget_window=SPAN,
-            link=0.0,
+            link_capacity=0.0,
             siblings=False,
         )
         fleet.random, fleet.began = random.Random(seed), now
