--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -480,7 +480,7 @@
         collapsing: Collapsing,
         kb_per_s: float,
         hop_limit: int,
-        joins: bool,
+        join_fills: bool,
         probes: bool,
         cancels: bool,
         longest_come_back: int,
@@ -491,7 +491,7 @@
         self.noteless, self.watch, self.shape_differences = noteless, watch, {"noteless": 0}  # watched: counted only
         self.random, fleet.log = random.Random(seed), host.log
         fleet.random, fleet.began = self.random, host.now()
-        self.collapsing, self.kb_per_s, self.hop_limit, self.joins = collapsing, kb_per_s, hop_limit, joins
+        self.collapsing, self.kb_per_s, self.hop_limit, self.join_fills = collapsing, kb_per_s, hop_limit, join_fills
         self.probes, self.cancels, self.longest_come_back = probes, cancels, longest_come_back
         self.works = [float(FIRST_WORK)] * len(rules)  # mean sending times, learned
         self.sizes = [Sizes() for _ in rules]
@@ -614,7 +614,7 @@
         # A copy past its fresh time earns less: only after a failed fill, or while the way in is full.
         span = rule.fresh + rule.grace if txn.past_fresh and rule.fresh and rule.grace else rule.fresh
         age = self.purges.oldest_copy(now, txn.obj, txn.group, span) or (span if span > rule.fresh else 0)
-        join = self.joins and not rule.never_kept and not (hop.number and any(h.alone for h in txn.hops))
+        join = self.join_fills and not rule.never_kept and not (hop.number and any(h.alone for h in txn.hops))
         self.host.send_hop(
             txn.ident,
             server.name,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -61,7 +61,7 @@
             Collapsing(),
             kb_per_s=kb_per_s,
             hop_limit=8,
-            joins=True,
+            join_fills=True,
             probes=False,
             cancels=True,
             longest_come_back=come_back,
