--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -482,7 +482,7 @@
         hop_limit: int,
         join_fills: bool,
         probes: bool,
-        cancels: bool,
+        may_cancel: bool,
         longest_come_back: int,
         noteless: bool = False,
         watch: bool = False,
@@ -492,7 +492,7 @@
         self.random, fleet.log = random.Random(seed), host.log
         fleet.random, fleet.began = self.random, host.now()
         self.collapsing, self.kb_per_s, self.hop_limit, self.join_fills = collapsing, kb_per_s, hop_limit, join_fills
-        self.probes, self.cancels, self.longest_come_back = probes, cancels, longest_come_back
+        self.probes, self.may_cancel, self.longest_come_back = probes, may_cancel, longest_come_back
         self.works = [float(FIRST_WORK)] * len(rules)  # mean sending times, learned
         self.sizes = [Sizes() for _ in rules]
         self.spreads = [FIRST_WORK / 2] * len(rules)  # their mean deviation, where sizes are not told
@@ -675,7 +675,7 @@
     def drop(self, hop: Hop) -> None:
         """Stop waiting for a hop, unless that would leave open whether an unrepeatable txn ran."""
         txn = self.txns[hop.txn]
-        if self.cancels and not hop.dropped and (txn.ended or txn.rule.kind != "unrepeatable"):
+        if self.may_cancel and not hop.dropped and (txn.ended or txn.rule.kind != "unrepeatable"):
             hop.dropped = True
             self.host.cancel(hop.txn, hop.number)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -63,7 +63,7 @@
             hop_limit=8,
             join_fills=True,
             probes=False,
-            cancels=True,
+            may_cancel=True,
             longest_come_back=come_back,
         )
         self.list_servers(
