--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -483,7 +483,7 @@
         join_fills: bool,
         probes: bool,
         may_cancel: bool,
-        longest_come_back: int,
+        max_retry_after: int,
         noteless: bool = False,
         watch: bool = False,
     ):
@@ -492,7 +492,7 @@
         self.random, fleet.log = random.Random(seed), host.log
         fleet.random, fleet.began = self.random, host.now()
         self.collapsing, self.kb_per_s, self.hop_limit, self.join_fills = collapsing, kb_per_s, hop_limit, join_fills
-        self.probes, self.may_cancel, self.longest_come_back = probes, may_cancel, longest_come_back
+        self.probes, self.may_cancel, self.max_retry_after = probes, may_cancel, max_retry_after
         self.works = [float(FIRST_WORK)] * len(rules)  # mean sending times, learned
         self.sizes = [Sizes() for _ in rules]
         self.spreads = [FIRST_WORK / 2] * len(rules)  # their mean deviation, where sizes are not told
@@ -647,7 +647,7 @@
         self.give_up_counts[why] = self.give_up_counts.get(why, 0) + 1
         self.sizes[txn.rule_at].ended(txn.work, False)
         if self.may_reject(txn):
-            self.host.reject(txn.ident, int(self.longest_come_back * self.random.uniform(0.3, 1.0)))
+            self.host.reject(txn.ident, int(self.max_retry_after * self.random.uniform(0.3, 1.0)))
         else:
             self.host.abort(txn.ident)
         self.finish(txn)
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -252,7 +252,7 @@
     def turn_away(self, ident: int) -> None:
         if self.held.pop(ident, None) is not None:
             self.open_txns.count("held_back")
-            self.reject(ident, self.site.router_options["longest_come_back"])
+            self.reject(ident, self.site.router_options["max_retry_after"])
 
     def close_gate(self, gate, why: str) -> None:
         """No txn is decided on until `open`; the start's own gate stays where it is."""
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -159,7 +159,7 @@
         join_fills=info.flag("mergesFills"),
         probes=may.flag("probes"),
         may_cancel=may.flag("cancel"),
-        longest_come_back=may.whole("maxRetryAfterUs") * US if may.flag("retryAfter") else 0,
+        max_retry_after=may.whole("maxRetryAfterUs") * US if may.flag("retryAfter") else 0,
         noteless=info.chosen("says", {"all": False, "hit": False, "none": True}, "all"),
         watch=conf.chosen("shape", {"as-told": False, "watch": True}, "as-told"),
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -64,7 +64,7 @@
             join_fills=True,
             probes=False,
             may_cancel=True,
-            longest_come_back=come_back,
+            max_retry_after=come_back,
         )
         self.list_servers(
             {f"c{n}": (1, 0, n % 2) for n in range(caches)} | {f"p{n}": (0, 1, 0) for n in range(2)} | {"origin": (0, 2, 0)}, complete=True
