--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -484,11 +484,11 @@
         probes: bool,
         may_cancel: bool,
         max_retry_after: int,
-        noteless: bool = False,
+        without_notes: bool = False,
         watch: bool = False,
     ):
         self.host, self.rules, self.pool, self.purges = host, rules, fleet, purges
-        self.noteless, self.watch, self.shape_differences = noteless, watch, {"noteless": 0}  # watched: counted only
+        self.without_notes, self.watch, self.shape_differences = without_notes, watch, {"noteless": 0}  # watched: counted only
         self.random, fleet.log = random.Random(seed), host.log
         fleet.random, fleet.began = self.random, host.now()
         self.collapsing, self.kb_per_s, self.hop_limit, self.join_fills = collapsing, kb_per_s, hop_limit, join_fills
@@ -750,7 +750,7 @@
                 slow = (took - (20 * MS if note == HIT else 2 * DUE_WAIT)) / hop.work
                 self.pool.saw(server, max(0.0, was + (max(slow, min(was, 1.0)) - was) * PACE_STEP), now)
                 self.pool.transferred(server, hop.work, took, beside)
-            elif not txn.sized and (note == HIT or self.noteless and self.learns_noteless()):
+            elif not txn.sized and (note == HIT or self.without_notes and self.learns_noteless()):
                 alone = max(0, took - 20 * MS) * min(1.0, server.capacity / beside)  # less what others took of it
                 off = alone - self.works[txn.rule_at]
                 self.works[txn.rule_at] += off * LEARN
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -160,7 +160,7 @@
         probes=may.flag("probes"),
         may_cancel=may.flag("cancel"),
         max_retry_after=may.whole("maxRetryAfterUs") * US if may.flag("retryAfter") else 0,
-        noteless=info.chosen("says", {"all": False, "hit": False, "none": True}, "all"),
+        without_notes=info.chosen("says", {"all": False, "hit": False, "none": True}, "all"),
         watch=conf.chosen("shape", {"as-told": False, "watch": True}, "as-told"),
     )
     return Deployment(
