--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -485,10 +485,10 @@
         may_cancel: bool,
         max_retry_after: int,
         without_notes: bool = False,
-        watch: bool = False,
+        watch_only: bool = False,
     ):
         self.host, self.rules, self.pool, self.purges = host, rules, fleet, purges
-        self.without_notes, self.watch, self.shape_differences = without_notes, watch, {"noteless": 0}  # watched: counted only
+        self.without_notes, self.watch_only, self.shape_differences = without_notes, watch_only, {"noteless": 0}  # watched: counted only
         self.random, fleet.log = random.Random(seed), host.log
         fleet.random, fleet.began = self.random, host.now()
         self.collapsing, self.kb_per_s, self.hop_limit, self.join_fills = collapsing, kb_per_s, hop_limit, join_fills
@@ -783,7 +783,7 @@
 
     def learns_noteless(self) -> bool:  # where answers carry no notes, any completed one stands in for a hit
         self.shape_differences["noteless"] += 1
-        return not self.watch
+        return not self.watch_only
 
     def patience(self, hop: Hop, now: int, out: int) -> int:
         """How long a server or source may stay silent with this hop out, the more the more it has to do.
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -161,7 +161,7 @@
         may_cancel=may.flag("cancel"),
         max_retry_after=may.whole("maxRetryAfterUs") * US if may.flag("retryAfter") else 0,
         without_notes=info.chosen("says", {"all": False, "hit": False, "none": True}, "all"),
-        watch=conf.chosen("shape", {"as-told": False, "watch": True}, "as-told"),
+        watch_only=conf.chosen("shape", {"as-told": False, "watch": True}, "as-told"),
     )
     return Deployment(
         rules,
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -81,7 +81,7 @@
     """Found on mizan-offices: no sizes, no notes, and both rules kept the first guess of 400 ms."""
     for noteless, watch in ((False, False), (True, False), (True, True)):
         day = Referee(rules=[rule(), rule()])
-        day.router.without_notes, day.router.watch = noteless, watch
+        day.router.without_notes, day.router.watch_only = noteless, watch
         for ident in range(100):
             day.arrive(ident, 1, obj=f"o{ident}", kb=0.0)
             day.pass_time(60 * MS)
