--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -515,7 +515,7 @@
         sizes.tenth += step * ((work >= sizes.tenth) - 0.1)
         sizes.third += step * ((work >= sizes.third) - 0.3)
         self.retries = min(RETRY_MOST, self.retries + RETRY_SHARE)
-        if rule.never_kept:  # nothing to share: straight through a cache to the origin
+        if rule.uncacheable:  # nothing to share: straight through a cache to the origin
             return self.send(txn)
         self.mean_transfer_time += (work - self.mean_transfer_time) * LEARN
         self.mean_importance += (rule.importance - self.mean_importance) * LEARN
@@ -561,7 +561,7 @@
         sizes = self.sizes[txn.rule_at]
         if worth < 1 and sizes.lately and sizes.short(txn.work):
             worth = 1.0  # no less than the others'
-        filling, fetch = 0.0 if known or rule.never_kept else self.pool.miss_share, True
+        filling, fetch = 0.0 if known or rule.uncacheable else self.pool.miss_share, True
         crowd = CROWD_LEAST + min(CROWD_MOST, worth)
         if not txn.sized:
             crowd = min(crowd, self.bearable_crowd(txn, now))
@@ -573,7 +573,7 @@
         )
         if server is None:  # nowhere to go, or too crowded for what the txn is worth
             return self.give_up(txn, GiveUp.NO_SERVER)
-        if rule.never_kept:
+        if rule.uncacheable:
             source, rank, charged = fleet.origin, 0, 0.0
             if source is None or source.state != "up":
                 return self.give_up(txn, GiveUp.NO_SOURCE)
@@ -614,7 +614,7 @@
         # A copy past its fresh time earns less: only after a failed fill, or while the way in is full.
         span = rule.fresh + rule.grace if txn.past_fresh and rule.fresh and rule.grace else rule.fresh
         age = self.purges.oldest_copy(now, txn.obj, txn.group, span) or (span if span > rule.fresh else 0)
-        join = self.join_fills and not rule.never_kept and not (hop.number and any(h.alone for h in txn.hops))
+        join = self.join_fills and not rule.uncacheable and not (hop.number and any(h.alone for h in txn.hops))
         self.host.send_hop(
             txn.ident,
             server.name,
@@ -736,7 +736,7 @@
         if result == "completed":
             for h in [h for h in txn.hops if h.erred] if len(txn.hops) > 1 else ():
                 self.pool.judge(h.server, 1.0, now)
-                if h.source is not None and not (self.notes or txn.rule.never_kept):  # peers tell them apart
+                if h.source is not None and not (self.notes or txn.rule.uncacheable):  # peers tell them apart
                     self.pool.judge(h.source, 1.0, now)
             self.pool.carried(server, hop.work, now)
             self.pool.judge(server, 0.0, now)
@@ -800,7 +800,7 @@
         if not hop.in_flight or hop.dropped:
             return
         if now - max(server.heard, hop.sent) >= self.patience(hop, now, len(server.in_flight)):
-            if self.pool.share < OBJECT_HOMES and (hop.filling or self.txns[hop.txn].rule.never_kept):
+            if self.pool.share < OBJECT_HOMES and (hop.filling or self.txns[hop.txn].rule.uncacheable):
                 # Else only fills that come in time are learned from: a slow source is never known as slow.
                 late = max(0, now - hop.sent - hop.work - self.first_byte_after)
                 self.first_byte_after += late * LATE_LEARN
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -427,7 +427,7 @@
             self.clock,
             cut_at,
             txn.group,
-            NEVER if self.site.rules[txn.rule_index].never_kept else self.purges,
+            NEVER if self.site.rules[txn.rule_index].uncacheable else self.purges,
             go_by,
             self.starts.get(server, UNKNOWN)[0],
             self.starts.get(source, UNKNOWN)[0],
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -163,11 +163,11 @@
                 assert go_by <= began + ((self.clock - began) // SPAN + 1.5) * SPAN, "a hop to a cold server outlives its span"
                 assert name == server or not renew, "a hit that asks a cold parent, of which no answer tells"
         assert len(txn["hops"]) < 8 and self.clock < cut_at <= txn["limit"]
-        assert (rank == 0 and not join) if txn["rule"].never_kept else rank >= 2
+        assert (rank == 0 and not join) if txn["rule"].uncacheable else rank >= 2
         for obj, group, made, told in self.purges:
             if (
                 self.clock - made <= GONE_EVERYWHERE
-                and not txn["rule"].never_kept
+                and not txn["rule"].uncacheable
                 and (obj == txn["obj"] or (obj is None and group == txn["group"]))
             ):
                 assert 0 < max_age <= max(1000, self.clock - made), "a copy older than the purge would do"
