--- a/fieldspur/host.py
+++ b/fieldspur/host.py
@@ -22,7 +22,7 @@
 
     kind: str  # "repeatable", "keyed" or "unrepeatable"
     group: str  # keyed: who drops repeats, "all", "zone" or "cell"
-    remembered: int  # keyed: for how long, from the first hop that may have run
+    dedup_window: int  # keyed: for how long, from the first hop that may have run
     importance: float
     late_share: float  # share of the importance that an answer after the SLA time earns
     sla: int  # SLA time, without the part that grows with the size
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -163,7 +163,7 @@
         return None
     if rule.kind == "unrepeatable":
         return Refusal.NOT_IDEMPOTENT
-    if now - ran[0].sent >= rule.remembered - REPEAT_MARGIN:
+    if now - ran[0].sent >= rule.dedup_window - REPEAT_MARGIN:
         return Refusal.REPEAT_WINDOW_OVER
     same = all(
         rule.group == "all"
@@ -178,7 +178,7 @@
     """By when a further attempt has to be written; NEVER where nothing limits it."""
     if rule.kind != "keyed" or not ran:
         return NEVER
-    return min(attempt.sent for attempt in ran) + rule.remembered - REPEAT_MARGIN
+    return min(attempt.sent for attempt in ran) + rule.dedup_window - REPEAT_MARGIN
 
 
 def may_promise_no_effect(rule, ran: list) -> bool:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -156,7 +156,7 @@
         assert self.may_send(txn, server), "an effect may happen twice"
         ran = [h for h in txn["hops"] if h["out"] or h["result"] not in NEVER_RAN]
         if ran and txn["rule"].kind == "keyed":
-            assert go_by <= ran[0]["at"] + txn["rule"].remembered - 50 * MS, "a repeat may go out once the first is forgotten"
+            assert go_by <= ran[0]["at"] + txn["rule"].dedup_window - 50 * MS, "a repeat may go out once the first is forgotten"
         for name in (server, source):
             began = self.servers[name]["started"] if name not in (None, "origin") else 0
             if began and self.clock - began < RAMP and self.clock >= began and (name == server or source != server):
@@ -205,7 +205,7 @@
         ran = [h for h in txn["hops"] if h["out"] or h["result"] not in NEVER_RAN]
         if not ran or txn["rule"].kind == "repeatable":
             return True
-        if txn["rule"].kind == "unrepeatable" or self.clock - ran[0]["at"] >= txn["rule"].remembered - 50 * MS:
+        if txn["rule"].kind == "unrepeatable" or self.clock - ran[0]["at"] >= txn["rule"].dedup_window - 50 * MS:
             return False
         key = txn["rule"].group
         return key == "all" or all(self.servers[h["server"]][key] == self.servers[server][key] for h in ran)
