--- a/fieldspur/host.py
+++ b/fieldspur/host.py
@@ -21,7 +21,7 @@
     """One remap rule, as the operator states it."""
 
     kind: str  # "repeatable", "keyed" or "unrepeatable"
-    group: str  # keyed: who drops repeats, "all", "zone" or "cell"
+    dedup_scope: str  # keyed: who drops repeats, "all", "zone" or "cell"
     dedup_window: int  # keyed: for how long, from the first hop that may have run
     importance: float
     late_share: float  # share of the importance that an answer after the SLA time earns
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -166,9 +166,9 @@
     if now - ran[0].sent >= rule.dedup_window - REPEAT_MARGIN:
         return Refusal.REPEAT_WINDOW_OVER
     same = all(
-        rule.group == "all"
-        or (rule.group == "zone" and server.zone == attempt.server.zone)
-        or (rule.group == "cell" and server.cell == attempt.server.cell)
+        rule.dedup_scope == "all"
+        or (rule.dedup_scope == "zone" and server.zone == attempt.server.zone)
+        or (rule.dedup_scope == "cell" and server.cell == attempt.server.cell)
         for attempt in ran
     )
     return None if same else Refusal.OTHER_REPEAT_GROUP
@@ -183,7 +183,7 @@
 
 def may_promise_no_effect(rule, ran: list) -> bool:
     """Whether "refused", which says that trying again is harmless, may be answered after the attempts in `ran`."""
-    return rule.kind == "repeatable" or not ran or (rule.kind == "keyed" and rule.group == "all")
+    return rule.kind == "repeatable" or not ran or (rule.kind == "keyed" and rule.dedup_scope == "all")
 
 
 # Requests.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -207,13 +207,13 @@
             return True
         if txn["rule"].kind == "unrepeatable" or self.clock - ran[0]["at"] >= txn["rule"].dedup_window - 50 * MS:
             return False
-        key = txn["rule"].group
+        key = txn["rule"].dedup_scope
         return key == "all" or all(self.servers[h["server"]][key] == self.servers[server][key] for h in ran)
 
     def may_reject(self, txn):
         ran = [h for h in txn["hops"] if h["out"] or h["result"] not in NEVER_RAN]
         kind = txn["rule"].kind
-        return not ran or kind == "repeatable" or (kind == "keyed" and txn["rule"].group == "all")
+        return not ran or kind == "repeatable" or (kind == "keyed" and txn["rule"].dedup_scope == "all")
 
     def cancel(self, ident, number):
         self.txns[ident]["hops"][number]["cancelled"] = self.clock
