--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -11,7 +11,7 @@
 import time
 
 from fieldspur.record import record
-from fieldspur.site import MS, BadSite, Part, address
+from fieldspur.site import MS, BadSite, Section, address
 
 log = logging.getLogger("fieldspur.board")
 STATES = {"up": "up", "draining": "draining", "removed": "gone"}
@@ -47,7 +47,7 @@
     at: int
 
 
-def listed(row: Part) -> ListedServer:
+def listed(row: Section) -> ListedServer:
     state = row.chosen("status", STATES, "up")
     gone = state == "gone"
     return ListedServer(
@@ -84,15 +84,15 @@
         self.list_changes = self.purges = 0  # told so far
         self.rows: dict[str, dict] = {}  # the list as told, for a change may hold only what has changed
 
-    def event(self, value: Part) -> ListChange | Purge | None:
+    def event(self, value: Section) -> ListChange | Purge | None:
         """What an event tells; None where it is of a kind not known here."""
         if "pool" in value.value:
-            pool = value.part("pool")
+            pool = value.section("pool")
             complete, changed = bool(pool.value.get("snapshot")), []
-            for row in pool.parts("endpoints"):
+            for row in pool.sections("endpoints"):
                 try:
                     old = {} if complete else self.rows.get(row.text("name"), {})
-                    changed.append(listed(Part(old | row.value, row.path)))
+                    changed.append(listed(Section(old | row.value, row.path)))
                     self.rows[row.text("name")] = old | row.value
                     if changed[-1].state == "gone":
                         del self.rows[row.text("name")]
@@ -100,7 +100,7 @@
                     log.error("unusable", extra={"kv": {"why": str(bad)}})
             return ListChange(complete, tuple(changed))
         if "flush" in value.value:
-            flush = value.part("flush")
+            flush = value.section("flush")
             obj = flush.text("asset", "") or None
             return Purge(obj, flush.whole("collection", -1, least=-1), flush.whole("ms") * MS)
         return None
@@ -155,7 +155,7 @@
     def apply_initial_events(self, known: list, last: int) -> None:
         """Apply the events of the start, before any thread runs."""
         for n, value in enumerate(known):
-            self.tell(self.event(Part(value, f"known.notices[{n}]")), now=True)
+            self.tell(self.event(Section(value, f"known.notices[{n}]")), now=True)
         self.last_number = last
 
     def handle_line(self, data: bytes) -> None:
@@ -173,7 +173,7 @@
 
     def take(self, value: dict) -> None:
         self.last_number = value["rev"]  # whatever it holds, it is not asked for again
-        self.tell(self.event(Part(value, "event")))
+        self.tell(self.event(Section(value, "event")))
 
     def change_address(self, where: tuple[str, int], known: list) -> None:
         """A new configuration: watch there from now on. Called by another thread, at any moment."""
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -31,7 +31,7 @@
         self.errno = errno
 
 
-class Part:
+class Section:
     """One object of the configuration and its path."""
 
     def __init__(self, value, path: str = ""):
@@ -52,11 +52,11 @@
             raise BadSite(f"{self.at(key)}: not {what}")
         return value
 
-    def part(self, key: str) -> Part:
-        return Part(self.raw(key, dict, "an object"), self.at(key))
+    def section(self, key: str) -> Section:
+        return Section(self.raw(key, dict, "an object"), self.at(key))
 
-    def parts(self, key: str) -> list[Part]:
-        return [Part(row, f"{self.at(key)}[{n}]") for n, row in enumerate(self.raw(key, list, "a list"))]
+    def sections(self, key: str) -> list[Section]:
+        return [Section(row, f"{self.at(key)}[{n}]") for n, row in enumerate(self.raw(key, list, "a list"))]
 
     def number(self, key: str, default=NEEDED, least: float = 0.0) -> float:
         try:
@@ -111,9 +111,9 @@
 
 
 def deployment(value, path: str = "settings") -> Deployment:
-    conf = Part(value, path)
-    info, sure, may = conf.part("familyInfo"), conf.part("guarantees"), conf.part("allowed")
-    rows = conf.parts("classes")
+    conf = Section(value, path)
+    info, sure, may = conf.section("familyInfo"), conf.section("guarantees"), conf.section("allowed")
+    rows = conf.sections("classes")
     never_kept = info.row("neverKept", (bool, int), "flags", len(rows))
     fresh = info.row("goodForUs", int, "times", len(rows))
     grace = info.row("olderByUs", int, "times", len(rows))
@@ -168,7 +168,7 @@
         [row.text("name", "") for row in rows],
         conf.row("areas", str, "names"),
         conf.row("kinds", str, "names"),
-        [LOADS.get(word, word) for word in conf.part("report").row("columns", str, "names")],
+        [LOADS.get(word, word) for word in conf.section("report").row("columns", str, "names")],
         pool_options,
         router_options,
         info.whole("goneEverywhereUs") * US,
@@ -220,14 +220,14 @@
         raise BadSite("LB_CONFIG: missing")
     try:
         with open(where, "rb") as file:
-            conf = Part(json.load(file))
+            conf = Section(json.load(file))
     except OSError as wrong:
         raise Unopened(f"LB_CONFIG: {wrong.strerror}", wrong.errno) from None
     except (ValueError, RecursionError):
         raise BadSite("LB_CONFIG: the file is not JSON") from None
     name = environ.get("LB_NAME") or conf.text("name")
     listen = environ.get("LB_LISTEN")
-    limits, known = conf.part("limits"), conf.part("known")
+    limits, known = conf.section("limits"), conf.section("known")
     try:
         seed = int(conf.text("seed"), 16)
     except ValueError:
