--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -52,7 +52,7 @@
     gone = state == "gone"
     return ListedServer(
         row.text("name"),
-        address(row.text("address", "-:1" if gone else ""), row.at("address")),
+        address(row.text("address", "-:1" if gone else ""), row.path_of("address")),
         row.text("zone", ""),
         row.text("type", ""),
         row.whole("group", 0, least=-1),
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -39,24 +39,24 @@
         if not isinstance(value, dict):
             raise BadSite(f"{path or 'the file'}: not an object")
 
-    def at(self, key: str) -> str:
+    def path_of(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
     def raw(self, key: str, kinds, what: str, default=NEEDED):
         value = self.value.get(key)
         if value is None:
             if default is NEEDED:
-                raise BadSite(f"{self.at(key)}: missing")
+                raise BadSite(f"{self.path_of(key)}: missing")
             return default
         if not isinstance(value, kinds) or (isinstance(value, bool) and kinds is not bool):
-            raise BadSite(f"{self.at(key)}: not {what}")
+            raise BadSite(f"{self.path_of(key)}: not {what}")
         return value
 
     def section(self, key: str) -> Section:
-        return Section(self.raw(key, dict, "an object"), self.at(key))
+        return Section(self.raw(key, dict, "an object"), self.path_of(key))
 
     def sections(self, key: str) -> list[Section]:
-        return [Section(row, f"{self.at(key)}[{n}]") for n, row in enumerate(self.raw(key, list, "a list"))]
+        return [Section(row, f"{self.path_of(key)}[{n}]") for n, row in enumerate(self.raw(key, list, "a list"))]
 
     def number(self, key: str, default=NEEDED, least: float = 0.0) -> float:
         try:
@@ -64,7 +64,7 @@
         except OverflowError:
             value = math.inf
         if not math.isfinite(value) or value < least:
-            raise BadSite(f"{self.at(key)}: below {least:g}")
+            raise BadSite(f"{self.path_of(key)}: below {least:g}")
         return value
 
     def whole(self, key: str, default=NEEDED, least: int = 0) -> int:
@@ -80,15 +80,15 @@
         """A list of plain values, one for each rule where `count` says so."""
         values = self.raw(key, list, "a list")
         if not all(isinstance(v, kinds) for v in values):
-            raise BadSite(f"{self.at(key)}: not a list of {what}")
+            raise BadSite(f"{self.path_of(key)}: not a list of {what}")
         if count is not None and len(values) != count:
-            raise BadSite(f"{self.at(key)}: {len(values)} values for {count} rules")
+            raise BadSite(f"{self.path_of(key)}: {len(values)} values for {count} rules")
         return values
 
     def chosen(self, key: str, choices: dict, default=NEEDED):
         word = self.text(key, default)
         if word not in choices:
-            raise BadSite(f"{self.at(key)}: none of {', '.join(choices)}")
+            raise BadSite(f"{self.path_of(key)}: none of {', '.join(choices)}")
         return choices[word]
 
 
@@ -138,7 +138,7 @@
     zone, by_zone = conf.whole("zone"), info.row("countByZone", int, "counts")
     pipes = info.row("pipeKbPerS", (int, float), "paces")
     if zone >= min(len(by_zone), len(pipes)):
-        raise BadSite(f"{conf.at('zone')}: not within familyInfo.countByZone and pipeKbPerS")
+        raise BadSite(f"{conf.path_of('zone')}: not within familyInfo.countByZone and pipeKbPerS")
     pace = info.number("clientKbPerS")
     pool_options = dict(
         zone=zone,
