--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -48,7 +48,7 @@
 
 
 def listed(row: Section) -> ListedServer:
-    state = row.chosen("status", STATES, "up")
+    state = row.choice("status", STATES, "up")
     gone = state == "gone"
     return ListedServer(
         row.text("name"),
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -85,7 +85,7 @@
             raise BadSite(f"{self.path_of(key)}: {len(values)} values for {count} rules")
         return values
 
-    def chosen(self, key: str, choices: dict, default=NEEDED):
+    def choice(self, key: str, choices: dict, default=NEEDED):
         word = self.text(key, default)
         if word not in choices:
             raise BadSite(f"{self.path_of(key)}: none of {', '.join(choices)}")
@@ -120,8 +120,8 @@
     stale = info.row("classStaleWorth", (int, float), "shares", len(rows))
     rules = [
         RemapRule(
-            row.chosen("repeat", KINDS),
-            row.chosen("dedupScope", {g: g for g in ("all", "zone", "cell")}, "all"),
+            row.choice("repeat", KINDS),
+            row.choice("dedupScope", {g: g for g in ("all", "zone", "cell")}, "all"),
             row.whole("memorySpanUs", 0) * US,
             row.number("worth"),
             row.number("lateWorth", 0.0),
@@ -160,8 +160,8 @@
         probes=may.flag("probes"),
         may_cancel=may.flag("cancel"),
         max_retry_after=may.whole("maxRetryAfterUs") * US if may.flag("retryAfter") else 0,
-        without_notes=info.chosen("says", {"all": False, "hit": False, "none": True}, "all"),
-        watch_only=conf.chosen("shape", {"as-told": False, "watch": True}, "as-told"),
+        without_notes=info.choice("says", {"all": False, "hit": False, "none": True}, "all"),
+        watch_only=conf.choice("shape", {"as-told": False, "watch": True}, "as-told"),
     )
     return Deployment(
         rules,
