--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -55,10 +55,10 @@
         address(row.text("address", "-:1" if gone else ""), row.path_of("address")),
         row.text("zone", ""),
         row.text("type", ""),
-        row.whole("group", 0, least=-1),
+        row.integer("group", 0, least=-1),
         state,
         row.number("weight", 1.0),
-        row.whole("since_ms", 0) * MS,
+        row.integer("since_ms", 0) * MS,
     )
 
 
@@ -102,7 +102,7 @@
         if "flush" in value.value:
             flush = value.section("flush")
             obj = flush.text("asset", "") or None
-            return Purge(obj, flush.whole("collection", -1, least=-1), flush.whole("ms") * MS)
+            return Purge(obj, flush.integer("collection", -1, least=-1), flush.integer("ms") * MS)
         return None
 
     def tell(self, told: ListChange | Purge | None, now: bool = False) -> None:
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -67,7 +67,7 @@
             raise BadSite(f"{self.path_of(key)}: below {least:g}")
         return value
 
-    def whole(self, key: str, default=NEEDED, least: int = 0) -> int:
+    def integer(self, key: str, default=NEEDED, least: int = 0) -> int:
         return int(self.number(key, default, least))
 
     def text(self, key: str, default=NEEDED) -> str:
@@ -122,12 +122,12 @@
         RemapRule(
             row.choice("repeat", KINDS),
             row.choice("dedupScope", {g: g for g in ("all", "zone", "cell")}, "all"),
-            row.whole("memorySpanUs", 0) * US,
+            row.integer("memorySpanUs", 0) * US,
             row.number("worth"),
             row.number("lateWorth", 0.0),
-            row.whole("aimUs") * US,
+            row.integer("aimUs") * US,
             row.number("aimStretch", 0.0),
-            row.whole("hardLimitUs") * US,
+            row.integer("hardLimitUs") * US,
             bool(never_kept[at]),
             fresh[at] * US,
             grace[at] * US,
@@ -135,31 +135,31 @@
         )
         for at, row in enumerate(rows)
     ]
-    zone, by_zone = conf.whole("zone"), info.row("countByZone", int, "counts")
+    zone, by_zone = conf.integer("zone"), info.row("countByZone", int, "counts")
     pipes = info.row("pipeKbPerS", (int, float), "paces")
     if zone >= min(len(by_zone), len(pipes)):
         raise BadSite(f"{conf.path_of('zone')}: not within familyInfo.countByZone and pipeKbPerS")
     pace = info.number("clientKbPerS")
     pool_options = dict(
         zone=zone,
-        parent_kind=info.whole("upperKind", least=-1),
-        origin_kind=info.whole("rootKind"),
+        parent_kind=info.integer("upperKind", least=-1),
+        origin_kind=info.integer("rootKind"),
         rating_quality=conf.text("weights"),
         cache_share=1 / max(1, by_zone[zone]),
-        parent_share=1 / max(1, conf.whole("replicasOfMe")),
-        cache_slow_start=(sure.number("coldFrom"), sure.whole("rampTimeUs") * US, sure.number("fallMultiple")),
-        parent_slow_start=(info.number("upperColdFrom"), info.whole("parentRampUs") * US, info.number("upperFallMultiple")),
-        budget_window=sure.whole("overloadForUs", least=1) * US,
+        parent_share=1 / max(1, conf.integer("replicasOfMe")),
+        cache_slow_start=(sure.number("coldFrom"), sure.integer("rampTimeUs") * US, sure.number("fallMultiple")),
+        parent_slow_start=(info.number("upperColdFrom"), info.integer("parentRampUs") * US, info.number("upperFallMultiple")),
+        budget_window=sure.integer("overloadForUs", least=1) * US,
         link_capacity=pipes[zone] / max(1.0, pace),
         siblings=info.text("siblings") != "none",
     )
     router_options = dict(
         kb_per_s=pace,
-        hop_limit=may.whole("sendCap"),
+        hop_limit=may.integer("sendCap"),
         join_fills=info.flag("mergesFills"),
         probes=may.flag("probes"),
         may_cancel=may.flag("cancel"),
-        max_retry_after=may.whole("maxRetryAfterUs") * US if may.flag("retryAfter") else 0,
+        max_retry_after=may.integer("maxRetryAfterUs") * US if may.flag("retryAfter") else 0,
         without_notes=info.choice("says", {"all": False, "hit": False, "none": True}, "all"),
         watch_only=conf.choice("shape", {"as-told": False, "watch": True}, "as-told"),
     )
@@ -171,11 +171,11 @@
         [LOADS.get(word, word) for word in conf.section("report").row("columns", str, "names")],
         pool_options,
         router_options,
-        info.whole("goneEverywhereUs") * US,
-        may.whole("connectTimeoutUs", 400_000) * US,
-        may.whole("idleCloseUs", 30_000_000) * US,
-        max(1, may.whole("maxStreams", 100)),
-        max(1, may.whole("maxOpen", 20_000)),
+        info.integer("goneEverywhereUs") * US,
+        may.integer("connectTimeoutUs", 400_000) * US,
+        may.integer("idleCloseUs", 30_000_000) * US,
+        max(1, may.integer("maxStreams", 100)),
+        max(1, may.integer("maxOpen", 20_000)),
     )
 
 
@@ -237,9 +237,9 @@
         address(listen, "LB_LISTEN") if listen else address(conf.text("listen"), "listen"),
         address(conf.text("board"), "board"),
         seed,
-        limits.whole("sockets", least=24),
-        limits.whole("memory_mb", least=16) << 20,
-        known.whole("rev"),
+        limits.integer("sockets", least=24),
+        limits.integer("memory_mb", least=16) << 20,
+        known.integer("rev"),
         known.raw("notices", list, "a list"),
         environ.get("LB_LOG") == "debug",
         deployment(conf.raw("settings", dict, "an object")),
