--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -55,7 +55,7 @@
         address(row.text("address", "-:1" if gone else ""), row.path_of("address")),
         row.text("zone", ""),
         row.text("type", ""),
-        row.integer("group", 0, least=-1),
+        row.integer("group", 0, minimum=-1),
         state,
         row.number("weight", 1.0),
         row.integer("since_ms", 0) * MS,
@@ -102,7 +102,7 @@
         if "flush" in value.value:
             flush = value.section("flush")
             obj = flush.text("asset", "") or None
-            return Purge(obj, flush.integer("collection", -1, least=-1), flush.integer("ms") * MS)
+            return Purge(obj, flush.integer("collection", -1, minimum=-1), flush.integer("ms") * MS)
         return None
 
     def tell(self, told: ListChange | Purge | None, now: bool = False) -> None:
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -58,17 +58,17 @@
     def sections(self, key: str) -> list[Section]:
         return [Section(row, f"{self.path_of(key)}[{n}]") for n, row in enumerate(self.raw(key, list, "a list"))]
 
-    def number(self, key: str, default=NEEDED, least: float = 0.0) -> float:
+    def number(self, key: str, default=NEEDED, minimum: float = 0.0) -> float:
         try:
             value = float(self.raw(key, (int, float), "a number", default))
         except OverflowError:
             value = math.inf
-        if not math.isfinite(value) or value < least:
-            raise BadSite(f"{self.path_of(key)}: below {least:g}")
+        if not math.isfinite(value) or value < minimum:
+            raise BadSite(f"{self.path_of(key)}: below {minimum:g}")
         return value
 
-    def integer(self, key: str, default=NEEDED, least: int = 0) -> int:
-        return int(self.number(key, default, least))
+    def integer(self, key: str, default=NEEDED, minimum: int = 0) -> int:
+        return int(self.number(key, default, minimum))
 
     def text(self, key: str, default=NEEDED) -> str:
         return self.raw(key, str, "a text", default)
@@ -142,14 +142,14 @@
     pace = info.number("clientKbPerS")
     pool_options = dict(
         zone=zone,
-        parent_kind=info.integer("upperKind", least=-1),
+        parent_kind=info.integer("upperKind", minimum=-1),
         origin_kind=info.integer("rootKind"),
         rating_quality=conf.text("weights"),
         cache_share=1 / max(1, by_zone[zone]),
         parent_share=1 / max(1, conf.integer("replicasOfMe")),
         cache_slow_start=(sure.number("coldFrom"), sure.integer("rampTimeUs") * US, sure.number("fallMultiple")),
         parent_slow_start=(info.number("upperColdFrom"), info.integer("parentRampUs") * US, info.number("upperFallMultiple")),
-        budget_window=sure.integer("overloadForUs", least=1) * US,
+        budget_window=sure.integer("overloadForUs", minimum=1) * US,
         link_capacity=pipes[zone] / max(1.0, pace),
         siblings=info.text("siblings") != "none",
     )
@@ -237,8 +237,8 @@
         address(listen, "LB_LISTEN") if listen else address(conf.text("listen"), "listen"),
         address(conf.text("board"), "board"),
         seed,
-        limits.integer("sockets", least=24),
-        limits.integer("memory_mb", least=16) << 20,
+        limits.integer("sockets", minimum=24),
+        limits.integer("memory_mb", minimum=16) << 20,
         known.integer("rev"),
         known.raw("notices", list, "a list"),
         environ.get("LB_LOG") == "debug",
