--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -11,7 +11,7 @@
 import time
 
 from fieldspur.record import record
-from fieldspur.site import MS, BadSite, Section, address
+from fieldspur.site import MS, BadSite, Section, parse_address
 
 log = logging.getLogger("fieldspur.board")
 STATES = {"up": "up", "draining": "draining", "removed": "gone"}
@@ -52,7 +52,7 @@
     gone = state == "gone"
     return ListedServer(
         row.text("name"),
-        address(row.text("address", "-:1" if gone else ""), row.path_of("address")),
+        parse_address(row.text("address", "-:1" if gone else ""), row.path_of("address")),
         row.text("zone", ""),
         row.text("type", ""),
         row.integer("group", 0, minimum=-1),
--- a/fieldspur/operators.py
+++ b/fieldspur/operators.py
@@ -7,7 +7,7 @@
 import json
 
 from fieldspur.record import Field, is_record, record
-from fieldspur.site import BadSite, address
+from fieldspur.site import BadSite, parse_address
 
 SCHEMA = "https://json-schema.org/draft/2020-12/schema"
 
@@ -144,7 +144,7 @@
     where, _, zone = text.partition(" ")
     try:
         if zone.strip():
-            return address(where, "address"), zone.strip()
+            return parse_address(where, "address"), zone.strip()
     except BadSite:
         pass
     raise ValueError(f"{text!r}: ADDRESS:PORT ZONE wanted")
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -201,7 +201,7 @@
     site: Deployment
 
 
-def address(text: str, path: str) -> tuple[str, int]:
+def parse_address(text: str, path: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or len(port) > 5 or not 0 < int(port) < 65536:
         raise BadSite(f"{path}: not an address with a port")
@@ -234,8 +234,8 @@
         raise BadSite("seed: not a hexadecimal number") from None
     return Node(
         name,
-        address(listen, "LB_LISTEN") if listen else address(conf.text("listen"), "listen"),
-        address(conf.text("board"), "board"),
+        parse_address(listen, "LB_LISTEN") if listen else parse_address(conf.text("listen"), "listen"),
+        parse_address(conf.text("board"), "board"),
         seed,
         limits.integer("sockets", minimum=24),
         limits.integer("memory_mb", minimum=16) << 20,
