--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -24,7 +24,7 @@
 from fieldspur.operators import BadFile, Operators, UnopenedFile, read
 from fieldspur.permissions import Gate, GiveUp, may_exit
 from fieldspur.record import replace
-from fieldspur.site import MS, BadSite, Node, Unopened, differences, read_node
+from fieldspur.site import MS, ConfigError, Node, Unopened, differences, read_node
 
 log = logging.getLogger("fieldspur.main")
 STACK, DEEP_STACK = 128 << 10, 512 << 10  # DEEP: of what parses JSON, whose nesting the sender chooses
@@ -185,7 +185,7 @@
         """Read the files again. One that can't be used changes nothing, nor does what a running router keeps."""
         try:
             node, wishes = files_of(os.environ)
-        except (BadSite, BadFile) as bad:
+        except (ConfigError, BadFile) as bad:
             return log.error("kept", extra={"kv": {"why": str(bad)}})
         self.board.change_address(node.board, node.known)
         kept = differences(self.node, node)
@@ -233,7 +233,7 @@
 
 
 def files_of(environ) -> tuple[Node, Operators]:
-    """Both files, checked. Where the system has no room to open one now, that is tried again for a while. Raises BadSite, BadFile."""
+    """Both files, checked. Where the system has no room to open one now, that is tried again for a while. Raises ConfigError, BadFile."""
     return retry_while_exhausted(lambda: (read_node(environ), parse_requests(environ)), (Unopened, UnopenedFile), FILE_PAUSE)
 
 
@@ -250,7 +250,7 @@
         logs.configure(level_of(node, wishes), wishes.log.lines_a_second)
         sys.setswitchinterval(wishes.interpreter.switch_ms / 1000)
         service = Service(node, wishes)
-    except (BadSite, BadFile) as bad:
+    except (ConfigError, BadFile) as bad:
         print(f"fieldspur: {bad}", file=sys.stderr)
         return 2
     except OSError as wrong:
--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -72,7 +72,7 @@
             scenario.parse(data)
         else:
             operators.parse(data)
-    except (site.BadSite, operators.BadFile) as wrong:
+    except (site.ConfigError, operators.BadFile) as wrong:
         raise Bad(f"{file}: {wrong}") from None
     click.echo(f"{file}: a good {kind} file")
 
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -11,7 +11,7 @@
 import time
 
 from fieldspur.record import record
-from fieldspur.site import MS, BadSite, Section, parse_address
+from fieldspur.site import MS, ConfigError, Section, parse_address
 
 log = logging.getLogger("fieldspur.board")
 STATES = {"up": "up", "draining": "draining", "removed": "gone"}
@@ -96,7 +96,7 @@
                     self.rows[row.text("name")] = old | row.value
                     if changed[-1].state == "gone":
                         del self.rows[row.text("name")]
-                except BadSite as bad:  # one row that can't be used does not hold up the others
+                except ConfigError as bad:  # one row that can't be used does not hold up the others
                     log.error("unusable", extra={"kv": {"why": str(bad)}})
             return ListChange(complete, tuple(changed))
         if "flush" in value.value:
@@ -162,7 +162,7 @@
         value = json.loads(data)
         number = value.get("rev") if isinstance(value, dict) else value
         if not isinstance(number, int):
-            raise BadSite("rev: missing")
+            raise ConfigError("rev: missing")
         bare = not isinstance(value, dict) or len(value) == 1
         if number > self.last_number + (not bare):
             raise Gap(f"{self.last_number} is followed by {number}")
@@ -200,7 +200,7 @@
                         self.take(value)
                 self.watch()
                 why = "moved" if self.address_changed.is_set() else "closed"
-            except (OSError, ValueError, RecursionError, BadSite, Gap) as wrong:
+            except (OSError, ValueError, RecursionError, ConfigError, Gap) as wrong:
                 why = str(wrong) or type(wrong).__name__
             wait = WAIT_FIRST if self.last_number > before else min(WAIT_MOST, 2 * wait)
             self.log_lost(why)
--- a/fieldspur/operators.py
+++ b/fieldspur/operators.py
@@ -7,7 +7,7 @@
 import json
 
 from fieldspur.record import Field, is_record, record
-from fieldspur.site import BadSite, parse_address
+from fieldspur.site import ConfigError, parse_address
 
 SCHEMA = "https://json-schema.org/draft/2020-12/schema"
 
@@ -145,7 +145,7 @@
     try:
         if zone.strip():
             return parse_address(where, "address"), zone.strip()
-    except BadSite:
+    except ConfigError:
         pass
     raise ValueError(f"{text!r}: ADDRESS:PORT ZONE wanted")
 
--- a/fieldspur/simulator/codec.py
+++ b/fieldspur/simulator/codec.py
@@ -4,7 +4,7 @@
 
 import json
 
-from fieldspur.site import US, BadSite, build_router, deployment
+from fieldspur.site import US, ConfigError, build_router, deployment
 
 TEXT_FIELDS = ("conf", "message")
 RESULT_WORDS = {
@@ -206,7 +206,7 @@
             try:
                 conf = json.loads(need(f, "conf"))
                 self.instances[self.target] = Instance(self, self.target, whole(f, "rngSeed"), conf)
-            except (ValueError, BadSite) as wrong:
+            except (ValueError, ConfigError) as wrong:
                 raise BadInput(f"enlist: {wrong}"[:200]) from None
         elif self.target not in self.instances:
             raise BadInput(f"event for unknown instance '{self.target[:40]}'")
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -1,7 +1,7 @@
 """The one place where configuration is read, checked and given defaults; builds the Router from it.
 
 `Deployment` is what the `settings` object says and is alike for all routers of a location; `Node` is what one router
-of the service is told. A value that does not do raises BadSite, whose text begins with the path of the key.
+of the service is told. A value that does not do raises ConfigError, whose text begins with the path of the key.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 NEEDED = object()
 
 
-class BadSite(Exception):
+class ConfigError(Exception):
     """Configuration that can't be used; the text names the faulty key."""
 
 
-class Unopened(BadSite):
+class Unopened(ConfigError):
     """The file could not be opened or read; `errno` is the system's."""
 
     def __init__(self, text: str, errno: int | None):
@@ -37,7 +37,7 @@
     def __init__(self, value, path: str = ""):
         self.value, self.path = value, path
         if not isinstance(value, dict):
-            raise BadSite(f"{path or 'the file'}: not an object")
+            raise ConfigError(f"{path or 'the file'}: not an object")
 
     def path_of(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
@@ -46,10 +46,10 @@
         value = self.value.get(key)
         if value is None:
             if default is NEEDED:
-                raise BadSite(f"{self.path_of(key)}: missing")
+                raise ConfigError(f"{self.path_of(key)}: missing")
             return default
         if not isinstance(value, kinds) or (isinstance(value, bool) and kinds is not bool):
-            raise BadSite(f"{self.path_of(key)}: not {what}")
+            raise ConfigError(f"{self.path_of(key)}: not {what}")
         return value
 
     def section(self, key: str) -> Section:
@@ -64,7 +64,7 @@
         except OverflowError:
             value = math.inf
         if not math.isfinite(value) or value < minimum:
-            raise BadSite(f"{self.path_of(key)}: below {minimum:g}")
+            raise ConfigError(f"{self.path_of(key)}: below {minimum:g}")
         return value
 
     def integer(self, key: str, default=NEEDED, minimum: int = 0) -> int:
@@ -80,15 +80,15 @@
         """A list of plain values, one for each rule where `count` says so."""
         values = self.raw(key, list, "a list")
         if not all(isinstance(v, kinds) for v in values):
-            raise BadSite(f"{self.path_of(key)}: not a list of {what}")
+            raise ConfigError(f"{self.path_of(key)}: not a list of {what}")
         if count is not None and len(values) != count:
-            raise BadSite(f"{self.path_of(key)}: {len(values)} values for {count} rules")
+            raise ConfigError(f"{self.path_of(key)}: {len(values)} values for {count} rules")
         return values
 
     def choice(self, key: str, choices: dict, default=NEEDED):
         word = self.text(key, default)
         if word not in choices:
-            raise BadSite(f"{self.path_of(key)}: none of {', '.join(choices)}")
+            raise ConfigError(f"{self.path_of(key)}: none of {', '.join(choices)}")
         return choices[word]
 
 
@@ -138,7 +138,7 @@
     zone, by_zone = conf.integer("zone"), info.row("countByZone", int, "counts")
     pipes = info.row("pipeKbPerS", (int, float), "paces")
     if zone >= min(len(by_zone), len(pipes)):
-        raise BadSite(f"{conf.path_of('zone')}: not within familyInfo.countByZone and pipeKbPerS")
+        raise ConfigError(f"{conf.path_of('zone')}: not within familyInfo.countByZone and pipeKbPerS")
     pace = info.number("clientKbPerS")
     pool_options = dict(
         zone=zone,
@@ -204,7 +204,7 @@
 def parse_address(text: str, path: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or len(port) > 5 or not 0 < int(port) < 65536:
-        raise BadSite(f"{path}: not an address with a port")
+        raise ConfigError(f"{path}: not an address with a port")
     return host, int(port)
 
 
@@ -217,21 +217,21 @@
     """The node's configuration from LB_CONFIG's file; LB_NAME and LB_LISTEN go before what it says."""
     where = environ.get("LB_CONFIG")
     if not where:
-        raise BadSite("LB_CONFIG: missing")
+        raise ConfigError("LB_CONFIG: missing")
     try:
         with open(where, "rb") as file:
             conf = Section(json.load(file))
     except OSError as wrong:
         raise Unopened(f"LB_CONFIG: {wrong.strerror}", wrong.errno) from None
     except (ValueError, RecursionError):
-        raise BadSite("LB_CONFIG: the file is not JSON") from None
+        raise ConfigError("LB_CONFIG: the file is not JSON") from None
     name = environ.get("LB_NAME") or conf.text("name")
     listen = environ.get("LB_LISTEN")
     limits, known = conf.section("limits"), conf.section("known")
     try:
         seed = int(conf.text("seed"), 16)
     except ValueError:
-        raise BadSite("seed: not a hexadecimal number") from None
+        raise ConfigError("seed: not a hexadecimal number") from None
     return Node(
         name,
         parse_address(listen, "LB_LISTEN") if listen else parse_address(conf.text("listen"), "listen"),
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -12,7 +12,7 @@
 from fieldspur.net import frames, resp
 from fieldspur.net.client_listener import UsedStreams
 from fieldspur.net.logs import MAX_LINES_PER_SECOND, KeyValueFormatter, RateLimitFilter, format_value
-from fieldspur.site import BadSite, deployment, read_node
+from fieldspur.site import ConfigError, deployment, read_node
 
 HEXES = st.text("0123456789abcdef", min_size=16, max_size=16)
 FIELDS = {
@@ -231,7 +231,7 @@
     for key in parent_keys:
         section = section[key]
     section[last_key] = value
-    with pytest.raises(BadSite) as error:
+    with pytest.raises(ConfigError) as error:
         deployment(deployment_settings)
     assert str(error.value).startswith(message)
 
@@ -252,7 +252,7 @@
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
-    with pytest.raises(BadSite) as error:
+    with pytest.raises(ConfigError) as error:
         read_node({"LB_CONFIG": str(path)})
     assert str(error.value).startswith(message)
 
