--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -24,7 +24,7 @@
 from fieldspur.operators import BadFile, Operators, UnopenedFile, read
 from fieldspur.permissions import Gate, GiveUp, may_exit
 from fieldspur.record import replace
-from fieldspur.site import MS, ConfigError, Node, Unopened, differences, read_node
+from fieldspur.site import MS, ConfigError, Node, UnreadableConfig, differences, read_node
 
 log = logging.getLogger("fieldspur.main")
 STACK, DEEP_STACK = 128 << 10, 512 << 10  # DEEP: of what parses JSON, whose nesting the sender chooses
@@ -234,7 +234,7 @@
 
 def files_of(environ) -> tuple[Node, Operators]:
     """Both files, checked. Where the system has no room to open one now, that is tried again for a while. Raises ConfigError, BadFile."""
-    return retry_while_exhausted(lambda: (read_node(environ), parse_requests(environ)), (Unopened, UnopenedFile), FILE_PAUSE)
+    return retry_while_exhausted(lambda: (read_node(environ), parse_requests(environ)), (UnreadableConfig, UnopenedFile), FILE_PAUSE)
 
 
 def level_of(node: Node, wishes: Operators) -> int:
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -23,7 +23,7 @@
     """Configuration that can't be used; the text names the faulty key."""
 
 
-class Unopened(ConfigError):
+class UnreadableConfig(ConfigError):
     """The file could not be opened or read; `errno` is the system's."""
 
     def __init__(self, text: str, errno: int | None):
@@ -222,7 +222,7 @@
         with open(where, "rb") as file:
             conf = Section(json.load(file))
     except OSError as wrong:
-        raise Unopened(f"LB_CONFIG: {wrong.strerror}", wrong.errno) from None
+        raise UnreadableConfig(f"LB_CONFIG: {wrong.strerror}", wrong.errno) from None
     except (ValueError, RecursionError):
         raise ConfigError("LB_CONFIG: the file is not JSON") from None
     name = environ.get("LB_NAME") or conf.text("name")
