--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -24,7 +24,7 @@
     """Turns requests into open txns, or answers them at once."""
 
     def __init__(self, site: Deployment, open_txns: OpenTxns, route, max_body_bytes: int):
-        self.open_txns, self.route, self.max_open_txns, self.max_body_bytes = open_txns, route, site.most_open, max_body_bytes
+        self.open_txns, self.route, self.max_open_txns, self.max_body_bytes = open_txns, route, site.max_open_txns, max_body_bytes
         self.retry_after_ms = site.router_options["max_retry_after"] // MS
         self.refusals = ReasonCounter(Refusal)  # requests that were rejected here, by reason
         self.latest_deadline = NEVER  # caps the deadline of every txn; an ending program is killed shortly after it
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -107,7 +107,7 @@
     connect_timeout: int
     idle_close: int
     most_hops: int  # on one connection
-    most_open: int  # txns
+    max_open_txns: int  # txns
 
 
 def deployment(value, path: str = "settings") -> Deployment:
