--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -129,7 +129,7 @@
             or self.retired
             or hop.name in self.open_hops
             or (self.used.get(hop.name) or self.older.get(hop.name, hop.ident)) != hop.ident
-            or len(self.open_hops) >= self.pool.site.most_hops
+            or len(self.open_hops) >= self.pool.site.max_hops_per_connection
         )
 
     def use_up(self, hop: Hop, by: int) -> None:
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -106,7 +106,7 @@
     gone_everywhere: int  # a purge binds no longer than this
     connect_timeout: int
     idle_close: int
-    most_hops: int  # on one connection
+    max_hops_per_connection: int  # on one connection
     max_open_txns: int  # txns
 
 
