--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -73,7 +73,7 @@
             node.listen,
             node.sockets // 2,
             int(node.memory * share.frames),
-            site.idle_close,
+            site.idle_timeout,
             Admission(site, self.open_txns, self.route, int(node.memory * share.bodies)),
             self.open_txns,
             self.route,
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -76,7 +76,7 @@
             lanes = self.connections.setdefault(hop.server, [])
             free = [lane for lane in lanes if lane.accepts(hop)]
             best = min(free, key=lambda lane: len(lane.open_hops)) if free else None
-            breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_break_at < self.site.idle_close
+            breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_break_at < self.site.idle_timeout
             if best is not None and (
                 not best.open or len(lanes) >= (LANES if breaking else 1) or self.unlocked_count() >= self.max_connections // 2
             ):
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -389,7 +389,7 @@
             self.dial()
             self.sock.settimeout(None)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, site.idle_close // MS)
+            self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, site.idle_timeout // MS)
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, STRUCT_TIME.pack(*divmod(site.connect_timeout // US, 1_000_000)))
             limit_unsent(self.sock)
         except OSError as wrong:  # not established
@@ -423,7 +423,7 @@
                 and (
                     self.retired
                     or self.server not in self.pool.endpoints
-                    or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_received_at > self.pool.site.idle_close * 0.75
+                    or time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_received_at > self.pool.site.idle_timeout * 0.75
                 )
             )
             if self.closed:
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -105,7 +105,7 @@
     router_options: dict  # what the Router is built from, besides its parts
     gone_everywhere: int  # a purge binds no longer than this
     connect_timeout: int
-    idle_close: int
+    idle_timeout: int
     max_hops_per_connection: int  # on one connection
     max_open_txns: int  # txns
 
