--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -67,7 +67,7 @@
             from fieldspur.fleet.list_overlay import ServerListOverlay
 
             overlay = ServerListOverlay(self.route)
-        self.board = self.send.discovery = DiscoveryClient(node.board, overlay or self.route, node.seed)
+        self.board = self.send.discovery = DiscoveryClient(node.discovery_address, overlay or self.route, node.seed)
         self.board.apply_initial_events(node.known, node.known_to)
         self.client_listener = ClientListener(
             node.listen,
@@ -187,7 +187,7 @@
             node, wishes = files_of(os.environ)
         except (ConfigError, BadFile) as bad:
             return log.error("kept", extra={"kv": {"why": str(bad)}})
-        self.board.change_address(node.board, node.known)
+        self.board.change_address(node.discovery_address, node.known)
         kept = differences(self.node, node)
         kept += [key for key in ("memory", "interpreter", "start") if getattr(wishes, key) != getattr(self.wishes, key)]
         first = wishes.fleet.first
@@ -202,7 +202,7 @@
         log.log(
             logging.WARNING if kept else logging.INFO,
             "reloaded",
-            extra={"kv": {"board": "%s:%d" % node.board, "unchanged": ",".join(kept) or "-"}},
+            extra={"kv": {"board": "%s:%d" % node.discovery_address, "unchanged": ",".join(kept) or "-"}},
         )
 
     def end(self) -> None:
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -191,7 +191,7 @@
 
     name: str
     listen: tuple[str, int]
-    board: tuple[str, int]
+    discovery_address: tuple[str, int]
     seed: int
     sockets: int
     memory: int  # bytes
