--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -68,7 +68,7 @@
 
             overlay = ServerListOverlay(self.route)
         self.board = self.send.discovery = DiscoveryClient(node.discovery_address, overlay or self.route, node.seed)
-        self.board.apply_initial_events(node.known, node.known_to)
+        self.board.apply_initial_events(node.known_events, node.known_revision)
         self.client_listener = ClientListener(
             node.listen,
             node.sockets // 2,
@@ -187,7 +187,7 @@
             node, wishes = files_of(os.environ)
         except (ConfigError, BadFile) as bad:
             return log.error("kept", extra={"kv": {"why": str(bad)}})
-        self.board.change_address(node.discovery_address, node.known)
+        self.board.change_address(node.discovery_address, node.known_events)
         kept = differences(self.node, node)
         kept += [key for key in ("memory", "interpreter", "start") if getattr(wishes, key) != getattr(self.wishes, key)]
         first = wishes.fleet.first
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -195,8 +195,8 @@
     seed: int
     sockets: int
     memory: int  # bytes
-    known_to: int  # number of the last event in `known`
-    known: list  # the notice board's events up to the start, as they stand in the file
+    known_revision: int  # number of the last event in `known`
+    known_events: list  # the notice board's events up to the start, as they stand in the file
     debug: bool  # log each hop
     site: Deployment
 
