--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -26,7 +26,7 @@
     RemapRule,
 )
 from .permissions import GiveUp, last_repeat, may_promise_no_effect, repeat_refusal
-from .record import made, record
+from .record import default_factory, record
 
 try:
     from _blake2 import blake2b  # a start of its own does not load all that `hashlib` brings
@@ -75,8 +75,8 @@
     rating: float = 1.0
     kind: int = 0
     cell: int = 0
-    in_flight: dict = made(dict)  # hops out there, oldest first
-    sourced_hops: dict = made(dict)  # hops out elsewhere that name it as their source
+    in_flight: dict = default_factory(dict)  # hops out there, oldest first
+    sourced_hops: dict = default_factory(dict)  # hops out elsewhere that name it as their source
     fills: tuple = (0.0, 0)  # how many of `out` are being filled; when it last looked through them
     capacity: float = FITS_FIRST  # how many of this router's transfers run there at full pace
     transfer_rate: tuple = (0.0, 0)  # sending time a second that it lately did for this router, as of when
@@ -123,13 +123,13 @@
     work: int
     sized: bool
     limit_at: int
-    hops: list = made(list)
+    hops: list = default_factory(list)
     leads: bool = False
     waits: bool = False
     ended: bool = False
     hopeless: bool = False  # it would have to be filled, and may not
     past_fresh: bool = False  # a copy within its grace will do
-    avoid: set = made(set)  # servers that failed it
+    avoid: set = default_factory(set)  # servers that failed it
 
 
 BY_NAME = attrgetter("name")
@@ -178,7 +178,7 @@
 
     tenth: float = 0.0  # sending time at which the largest tenth begins
     third: float = 0.0  # the same for the largest three tenths
-    answered: list = made(lambda: [1.0, 1.0, 1.0])  # of the tenth, of the fifth, of all
+    answered: list = default_factory(lambda: [1.0, 1.0, 1.0])  # of the tenth, of the fifth, of all
     lately: bool = False  # some were given up, so it is counted
 
     def band(self, work: int) -> int:
@@ -200,7 +200,7 @@
 class Flight:
     leader: Txn
     since: int
-    waiters: dict = made(dict)
+    waiters: dict = default_factory(dict)
 
 
 class Collapsing:
--- a/fieldspur/operators.py
+++ b/fieldspur/operators.py
@@ -30,7 +30,7 @@
 
 
 def part(kind, text: str) -> Field:
-    return Field(made_by=kind, about={"description": text})
+    return Field(factory=kind, about={"description": text})
 
 
 @record(frozen=True)
@@ -216,14 +216,14 @@
     rows = []
     for row in kind.__fields__:
         inner = shape(hints[row.name]) if is_record(hints[row.name]) else hints[row.name]
-        rows.append((row.name, inner, msgspec.field(default_factory=inner) if row.made_by else row.default))
+        rows.append((row.name, inner, msgspec.field(default_factory=inner) if row.factory else row.default))
     return msgspec.defstruct(kind.__name__, rows, frozen=True, namespace={"__doc__": kind.__doc__})
 
 
 def filled(kind, value):
     """The record with the values that the library read."""
     return kind(
-        **{row.name: filled(row.made_by, getattr(value, row.name)) if row.made_by else getattr(value, row.name) for row in kind.__fields__}
+        **{row.name: filled(row.factory, getattr(value, row.name)) if row.factory else getattr(value, row.name) for row in kind.__fields__}
     )
 
 
@@ -282,7 +282,7 @@
             ref = found.get("$ref") or next((one["$ref"] for one in found.get("anyOf", ()) if "$ref" in one), "")
             found.update(row.about)
             if ref:
-                fill(row.made_by, parts[ref.rpartition("/")[2]])
+                fill(row.factory, parts[ref.rpartition("/")[2]])
 
     made = msgspec.json.schema(shape(Operators))
     parts = made["$defs"]
--- a/fieldspur/record.py
+++ b/fieldspur/record.py
@@ -11,15 +11,15 @@
 class Field:
     """What a class's body says of a field beyond its type: a default, what makes one, words about it."""
 
-    __slots__ = ("name", "default", "made_by", "about")
+    __slots__ = ("name", "default", "factory", "about")
 
-    def __init__(self, default=NOTHING, made_by=None, about: dict | None = None):
-        self.name, self.default, self.made_by, self.about = "", default, made_by, about or {}
+    def __init__(self, default=NOTHING, factory=None, about: dict | None = None):
+        self.name, self.default, self.factory, self.about = "", default, factory, about or {}
 
 
-def made(by) -> Field:
+def default_factory(by) -> Field:
     """A field whose default is made anew for each record."""
-    return Field(made_by=by)
+    return Field(factory=by)
 
 
 def same(self, other) -> bool:
@@ -62,8 +62,8 @@
         known, says, sets = {"_nothing": NOTHING}, [], []
         for row in rows:
             value = row.name
-            if row.made_by is not None:
-                known[f"_by_{row.name}"] = row.made_by
+            if row.factory is not None:
+                known[f"_by_{row.name}"] = row.factory
                 says.append(f"{row.name}=_nothing")
                 value = f"_by_{row.name}() if {row.name} is _nothing else {row.name}"
             elif row.default is not NOTHING:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -30,7 +30,7 @@
 from fieldspur.net.router_host import RouterHost
 from fieldspur.net.server_connection import Hop
 from fieldspur.net.timer_wheel import NEVER, SLOT_SHIFT, TimerWheel
-from fieldspur.record import made, record, replace
+from fieldspur.record import default_factory, record, replace
 from fieldspur.site import MS, deployment
 
 ROOT = Path(__file__).parents[1]
@@ -554,7 +554,7 @@
         second: int
         third: list
 
-    ours = type("Fields", (), {"__annotations__": Fields.__annotations__, "second": 5, "third": made(list)})
+    ours = type("Fields", (), {"__annotations__": Fields.__annotations__, "second": 5, "third": default_factory(list)})
     theirs = type("Fields", (), {"__annotations__": Fields.__annotations__, "second": 5, "third": field(default_factory=list)})
     one, other = record(frozen=frozen)(ours), dataclass(frozen=frozen, slots=True)(theirs)
     assert repr(one(values[0])) == repr(other(values[0])) and one(values[0]).third is not one(values[0]).third
