--- a/fieldspur/operators.py
+++ b/fieldspur/operators.py
@@ -26,17 +26,17 @@
 
 def key(default, least, most, text: str) -> Field:
     """A figure with its bounds, both allowed, and what it is."""
-    return Field(default, about={"minimum": least, "maximum": most, "description": text})
+    return Field(default, metadata={"minimum": least, "maximum": most, "description": text})
 
 
 def part(kind, text: str) -> Field:
-    return Field(factory=kind, about={"description": text})
+    return Field(factory=kind, metadata={"description": text})
 
 
 @record(frozen=True)
 class Log:
     level: Literal["debug", "info", "warning", "error"] = Field(
-        "info", about={"description": "lowest level of lines that are written; debug has one line a hop"}
+        "info", metadata={"description": "lowest level of lines that are written; debug has one line a hop"}
     )
     lines_a_second: int = key(20, 1, 10_000, "lines of one event in a second; what is left out is counted")
 
@@ -94,22 +94,23 @@
 class Fleet:
     """Which routers settle things among themselves. Without a name the router knows of no others."""
 
-    name: str = Field("", about={"description": "the fleet's name; empty: no fleet"})
+    name: str = Field("", metadata={"description": "the fleet's name; empty: no fleet"})
     members: dict[str, str] = Field(
-        {}, about={"description": 'all members, this router too: name to "ADDRESS:PORT ZONE", where each publishes its lines'}
+        {}, metadata={"description": 'all members, this router too: name to "ADDRESS:PORT ZONE", where each publishes its lines'}
     )
     votes: list[str] = Field(
-        [], about={"description": "the members that settle things, 3, 5 or 7 of many; the others go by what those settle; empty: all do"}
+        [], metadata={"description": "the members that settle things, 3, 5 or 7 of many; the others go by what those settle; empty: all do"}
     )
-    left: list[str] = Field([], about={"description": "members that do not vote and have been stopped for good: nothing waits for them"})
-    folder: str = Field("", about={"description": "where this member keeps what it promised; empty: in memory only"})
+    left: list[str] = Field([], metadata={"description": "members that do not vote and have been stopped for good: nothing waits for them"})
+    folder: str = Field("", metadata={"description": "where this member keeps what it promised; empty: in memory only"})
     lease_s: float = key(1.5, 0.3, 60.0, "seconds that a member acts for the fleet without word of a majority")
     first: bool = Field(
-        False, about={"description": "turned true and read by SIGHUP: there has been no fleet before, one begins; needs all members there"}
+        False,
+        metadata={"description": "turned true and read by SIGHUP: there has been no fleet before, one begins; needs all members there"},
     )
     unsure: Literal["serve", "turn_away"] = Field(
         "serve",
-        about={
+        metadata={
             "description": "a router that can't know what is out: `serve` keeps off what was announced to it, and orders wait until all "
             "routers were told; `turn_away` turns all txns away at once, and orders wait for nobody"
         },
@@ -117,7 +118,7 @@
     bounds: Bounds = part(Bounds, "what may be out for work together")
     work: list[dict] = Field(
         [],
-        about={
+        metadata={
             "description": "machines that are to be worked on",
             "maxItems": 64,
             "items": {
@@ -198,8 +199,8 @@
         at, here = f"{path}.{row.name}" if path else row.name, getattr(value, row.name)
         if is_record(here):
             check(here, at)
-        elif "minimum" in row.about and not row.about["minimum"] <= here <= row.about["maximum"]:
-            raise BadFile(f"{at}: {here:g} is not within {row.about['minimum']:g} to {row.about['maximum']:g}")
+        elif "minimum" in row.metadata and not row.metadata["minimum"] <= here <= row.metadata["maximum"]:
+            raise BadFile(f"{at}: {here:g} is not within {row.metadata['minimum']:g} to {row.metadata['maximum']:g}")
     if isinstance(value, Fleet):
         check_fleet(value, path)
     if isinstance(value, Memory) and value.answers + value.bodies + value.frames > 0.75:
@@ -280,7 +281,7 @@
         for row in kind.__fields__:
             found = into["properties"][row.name]
             ref = found.get("$ref") or next((one["$ref"] for one in found.get("anyOf", ()) if "$ref" in one), "")
-            found.update(row.about)
+            found.update(row.metadata)
             if ref:
                 fill(row.factory, parts[ref.rpartition("/")[2]])
 
--- a/fieldspur/record.py
+++ b/fieldspur/record.py
@@ -1,7 +1,7 @@
 """Plain classes with named fields, for what a router loads at its start.
 
 The standard library's `dataclasses` does the same and more, and pulls in `inspect`, `ast`, `dis` and `tokenize`, and makes
-five functions a class where one is used: together about a third of a router's start (`fieldspur bench start`)."""
+five functions a class where one is used: together metadata a third of a router's start (`fieldspur bench start`)."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Field:
-    """What a class's body says of a field beyond its type: a default, what makes one, words about it."""
+    """What a class's body says of a field beyond its type: a default, what makes one, words metadata it."""
 
-    __slots__ = ("name", "default", "factory", "about")
+    __slots__ = ("name", "default", "factory", "metadata")
 
-    def __init__(self, default=NOTHING, factory=None, about: dict | None = None):
-        self.name, self.default, self.factory, self.about = "", default, factory, about or {}
+    def __init__(self, default=NOTHING, factory=None, metadata: dict | None = None):
+        self.name, self.default, self.factory, self.metadata = "", default, factory, metadata or {}
 
 
 def default_factory(by) -> Field:
