--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -22,7 +22,7 @@
 from fieldspur.net.open_txns import OpenTxns
 from fieldspur.net.router_host import RouterHost
 from fieldspur.operators import BadFile, Operators, UnopenedFile, read
-from fieldspur.permissions import Gate, GiveUp, may_exit
+from fieldspur.permissions import GiveUp, StartupGate, may_exit
 from fieldspur.record import replace
 from fieldspur.site import MS, ConfigError, Node, UnreadableConfig, differences, read_node
 
@@ -97,7 +97,7 @@
         # where restarted routers named a draining parent before they had asked the board. Bounded, so a router without
         # a board starts; txns that come meanwhile wait at the gate, or are turned away in time.
         wait = self.wishes.start.board_wait_s
-        self.route.gate = Gate(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS, int(wait * 1e9), self.wishes.start.most_waiting)
+        self.route.gate = StartupGate(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS, int(wait * 1e9), self.wishes.start.most_waiting)
         for name, run in (
             ("board", self.board.run),
             ("route", self.route.run),
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -14,7 +14,7 @@
 from fieldspur.fleet.coordinator import EJECTED, HEALTHY, MAX_LOADS, SLOW_START
 from fieldspur.fleet.work_orders import Listing
 from fieldspur.net.discovery import ListChange, ListedServer
-from fieldspur.permissions import Shut
+from fieldspur.permissions import ClosedGate
 from fieldspur.record import replace
 from fieldspur.site import MS
 
@@ -123,7 +123,7 @@
         if not self.gate_opened:  # the startup gate is still closed
             return
         if rejects_all:
-            self.route.post(self.route.close_gate, Shut(), "no word of the fleet")
+            self.route.post(self.route.close_gate, ClosedGate(), "no word of the fleet")
         else:
             self.route.post(self.route.open_gate, "word of the fleet")
 
@@ -131,7 +131,7 @@
         """The startup gate has opened. Without this, a router to which the list was unknown before the gate opened would serve."""
         self.gate_opened = True
         if self.rejects_all:
-            self.route.post(self.route.close_gate, Shut(), "no word of the fleet")
+            self.route.post(self.route.close_gate, ClosedGate(), "no word of the fleet")
 
     def count_open_hops(self, machines) -> dict[str, int]:
         """The number of hops that are open at each machine, or that name it as their source."""
--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -19,7 +19,7 @@
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.server_connection import Hop
 from fieldspur.net.timer_wheel import NEVER, TimerWheel
-from fieldspur.permissions import Gate, GiveUp
+from fieldspur.permissions import GiveUp, StartupGate
 from fieldspur.site import MS, Deployment, build_router
 
 log = logging.getLogger("fieldspur.route")
@@ -60,7 +60,7 @@
         self.recent_lag = 0  # the same, fading: how late this thread now is
         self.faded = self.clock
         self.router = build_router(self, seed, site)
-        self.gate: Gate | None = None  # while it is there, txns wait for the board's first word
+        self.gate: StartupGate | None = None  # while it is there, txns wait for the board's first word
         self.held: dict[int, Txn] = {}  # those, as they came
         self.purges = 0  # how many of those told the Router has
         self.attempts = dict.fromkeys(RESULTS, 0)  # that ended, by result
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -288,8 +288,8 @@
 # Requests that come before the list of servers is known.
 
 
-class Gate:
-    """Shut until discovery has caught up after a start, for `wait` at the longest. A router that has just started has the list of its
+class StartupGate:
+    """ClosedGate until discovery has caught up after a start, for `wait` at the longest. A router that has just started has the list of its
     file, which may be older than what discovery holds: it decides nothing on it before."""
 
     def __init__(self, now: int, wait: int, most: int):
@@ -302,8 +302,8 @@
         return min(now + int((limit_at - now) * GATE_PATIENCE), self.opens_at + max(0, limit_at - self.opens_at) // 2)
 
 
-class Shut:
-    """Shut until somebody opens it: a router that can't know which servers it may use turns requests away at once."""
+class ClosedGate:
+    """ClosedGate until somebody opens it: a router that can't know which servers it may use turns requests away at once."""
 
     def __init__(self):
         self.shut_at = 0
