--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -243,7 +243,7 @@
         self.router.txn_arrived(txn.ident, txn.rule_index, txn.obj, txn.part, txn.limit_at - self.clock, txn.kb, txn.group)
 
     def hold(self, txn: Txn) -> None:
-        until = self.gate.until(self.clock, txn.limit_at, len(self.held))
+        until = self.gate.wait_until(self.clock, txn.limit_at, len(self.held))
         self.held[txn.ident] = txn
         if until <= self.clock:
             return self.turn_away(txn.ident)
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -295,7 +295,7 @@
     def __init__(self, now: int, wait: int, most: int):
         self.shut_at, self.opens_at, self.most = now, now + wait, most  # most: requests that wait at a time
 
-    def until(self, now: int, limit_at: int, waiting: int) -> int:
+    def wait_until(self, now: int, limit_at: int, waiting: int) -> int:
         """Until when a request may wait; it is given up then, unless the gate has opened. Not past `now`: at once."""
         if waiting >= self.most:
             return now
@@ -308,7 +308,7 @@
     def __init__(self):
         self.shut_at = 0
 
-    def until(self, now: int, limit_at: int, waiting: int) -> int:
+    def wait_until(self, now: int, limit_at: int, waiting: int) -> int:
         return now
 
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -90,7 +90,7 @@
     [(0, 1000, 0, 400), (0, 10_000, 0, 4000), (900, 100_000, 0, 1000 + 49_500), (0, 1000, 5, 0), (5, 5, 0, 5)],
 )
 def test_the_gate_keeps_a_txn_for_a_part_of_its_time(now, limit, waiting, until_at):
-    assert StartupGate(0, 1000, 5).until(now, limit, waiting) == min(until_at, now + int((limit - now) * 0.4))
+    assert StartupGate(0, 1000, 5).wait_until(now, limit, waiting) == min(until_at, now + int((limit - now) * 0.4))
 
 
 # Hops that wait in a connection.
