--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -17,7 +17,7 @@
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, bytes_received, receive_poll
 from fieldspur.net.open_txns import Answer, OpenTxns
 from fieldspur.net.timer_wheel import NEVER
-from fieldspur.permissions import Accepting, ClientState, CloseReason, close_reason, may_cut
+from fieldspur.permissions import AcceptFailures, ClientState, CloseReason, close_reason, may_cut
 from fieldspur.site import MS
 
 log = logging.getLogger("fieldspur.takein")
@@ -255,7 +255,7 @@
         self.lock = threading.Lock()
         self.descriptor_freed = threading.Condition(self.lock)
         self.listening_socket = listen_at(address)
-        self.accepting = Accepting()
+        self.accepting = AcceptFailures()
         self.accept_thread: threading.Thread | None = None  # the thread in `run`
         self.closing = self.closed = False  # closing: no new connections are wanted; closed: the accept thread is to end
 
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -249,7 +249,7 @@
 # The listener.
 
 
-class Accepting:
+class AcceptFailures:
     """What a failing accept means. A failure that passes costs nobody a connection: whoever waits, waits in the system's queue. Only
     where room is short for a while do clients that rest make some."""
 
