--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -268,7 +268,7 @@
             except OSError as error:
                 if not self.closing:
                     log.error("accept", extra={"kv": {"why": str(error)}})
-                    if self.accepting.make_room(error.errno, time.monotonic()) and self.free_descriptor(none_left=True):
+                    if self.accepting.should_free_descriptors(error.errno, time.monotonic()) and self.free_descriptor(none_left=True):
                         continue
                 time.sleep(ACCEPT_RETRY_PAUSE_S)  # without the pause, a lasting error would keep a whole core busy
                 continue
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -263,7 +263,7 @@
             self.failing_since = 0.0
         self.made = False
 
-    def make_room(self, number: int | None, now: float) -> bool:
+    def should_free_descriptors(self, number: int | None, now: float) -> bool:
         """After an accept that failed with that errno: whether clients that rest are to be let go for it."""
         if number not in OUT_OF_ROOM:
             return False
