--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -11,7 +11,7 @@
 from fieldspur.net.logs import ReasonCounter
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.timer_wheel import NEVER
-from fieldspur.permissions import Refusal, take_refusal
+from fieldspur.permissions import Refusal, admission_refusal
 from fieldspur.site import MS, Deployment
 
 log = logging.getLogger("fieldspur.admit")
@@ -73,7 +73,7 @@
             client_writer,
             request.stream,
         )
-        refusal = take_refusal(
+        refusal = admission_refusal(
             len(self.open_txns.by_id),
             self.max_open_txns,
             len(self.route.queue),
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -189,7 +189,9 @@
 # Requests.
 
 
-def take_refusal(open_requests: int, most_open: int, queued: int, most_queued: int, body_bytes: int, most_bytes: int) -> Refusal | None:
+def admission_refusal(
+    open_requests: int, most_open: int, queued: int, most_queued: int, body_bytes: int, most_bytes: int
+) -> Refusal | None:
     """Why a further request is refused at once. `body_bytes`: of all open ones, this one included."""
     if open_requests >= most_open:
         return Refusal.OPEN_REQUESTS
