--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -14,7 +14,7 @@
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS
 from fieldspur.net.open_txns import Answer, OpenTxns
 from fieldspur.net.server_connection import ConnectionEnd, Hop, ServerConnection
-from fieldspur.permissions import AttemptRules, Refusal
+from fieldspur.permissions import HopRules, Refusal
 from fieldspur.site import MS, Deployment
 
 log = logging.getLogger("fieldspur.send")
@@ -29,7 +29,7 @@
         self.site, self.open_txns, self.answer_sender, self.max_connections = site, open_txns, answer_sender, max_connections
         self.host = None  # set by it
         self.discovery, self.discovery_checked_at = None, 0  # the board, set by who has both; when a hop last looked at it
-        self.rules = AttemptRules(site.connect_timeout)
+        self.rules = HopRules(site.connect_timeout)
         self.refusals = ReasonCounter(Refusal)  # attempts that did not go out
         self.connection_ends = ReasonCounter(ConnectionEnd)
         self.outstanding: dict[int, Hop] = {}  # the attempt of each request that has gone out and has not ended
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -93,7 +93,7 @@
     started: int = 0
 
 
-class AttemptRules:
+class HopRules:
     """What an attempt depends on until it is written: states of endpoints, purges, and how long a dial may take."""
 
     def __init__(self, dial_limit: int):
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -8,7 +8,7 @@
 
 from fieldspur import decide
 from fieldspur.decide import MS, SECOND, Purges
-from fieldspur.permissions import AttemptRules
+from fieldspur.permissions import HopRules
 
 SPAN = 10 * SECOND
 BOUND = 5  # times that a further purge may cost with a hundred times as many that bind: a small constant, for it is to be the same
@@ -65,7 +65,7 @@
 
 def test_a_further_purge_costs_attempts_the_same_however_many_bind():
     def fresh():
-        rules = AttemptRules(10 * SECOND)
+        rules = HopRules(10 * SECOND)
         return lambda name, n: rules.purge_told(name, 1000 * SECOND + n * MS // 10)
 
     assert cost(fresh(), 20_000) < BOUND * cost(fresh(), 200)
