--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -113,7 +113,7 @@
 
     def set_usage_check(self, is_uncertain: Callable[[str], bool] | None) -> None:
         """Sets the function that is called just before each write, and returns True if the server must not be used at this moment."""
-        self.route.pool.rules.in_doubt = is_uncertain
+        self.route.pool.rules.is_uncertain = is_uncertain
 
     def reject_all(self, rejects_all: bool) -> None:
         """Makes the router reject all txns, or serve again. Used while the list is unknown to it."""
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -99,7 +99,7 @@
     def __init__(self, dial_limit: int):
         self.dial_limit = dial_limit
         self.endpoints: dict[str, Endpoint] = {}  # as listed, by name
-        self.in_doubt = None  # where routers settle things among themselves: whether an endpoint may not be used now
+        self.is_uncertain = None  # where routers settle things among themselves: whether an endpoint may not be used now
         self.purges = 0  # told so far
         # By object or group, as they were told: (number of the latest purge, when it was told).
         self.purged: OrderedDict[str | int, tuple[int, int]] = OrderedDict()
@@ -143,7 +143,7 @@
                 return Refusal.SOURCE_NOT_UP
             if endpoint.started != attempt.source_start:
                 return Refusal.SOURCE_RESTARTED
-        if self.in_doubt is not None and (self.in_doubt(attempt.server) or source is not None and self.in_doubt(source)):
+        if self.is_uncertain is not None and (self.is_uncertain(attempt.server) or source is not None and self.is_uncertain(source)):
             return Refusal.PLACEMENT_IN_DOUBT
         if (
             self.purged
