--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -116,7 +116,7 @@
 
     def purge_received(self, obj: str | None, group: int) -> None:
         """Attempts decided before, and not written, would ask for copies too old."""
-        self.rules.purge_told(obj if obj is not None else group, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
+        self.rules.add_purge(obj if obj is not None else group, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
         self.refuse_stale_hops()
 
     def refuse_stale_hops(self) -> None:
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -111,7 +111,7 @@
         else:
             self.endpoints[name] = Endpoint(address, state, started)
 
-    def purge_told(self, key: str | int, now: int) -> None:
+    def add_purge(self, key: str | int, now: int) -> None:
         """Attempts decided before, and not written, would ask for copies too old. One older than a dial may take is not written at all, so
         a purge is forgotten after that."""
         self.purges += 1
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -66,7 +66,7 @@
 def test_a_further_purge_costs_attempts_the_same_however_many_bind():
     def fresh():
         rules = HopRules(10 * SECOND)
-        return lambda name, n: rules.purge_told(name, 1000 * SECOND + n * MS // 10)
+        return lambda name, n: rules.add_purge(name, 1000 * SECOND + n * MS // 10)
 
     assert cost(fresh(), 20_000) < BOUND * cost(fresh(), 200)
 
