--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -15,7 +15,7 @@
 from fieldspur.net.invariants import contained_errors
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, receive_poll, write_nonblocking
 from fieldspur.net.timer_wheel import NEVER
-from fieldspur.permissions import may_dial_again, speaks_against_server
+from fieldspur.permissions import counts_against_server, may_dial_again
 from fieldspur.record import record
 from fieldspur.site import MS, US
 
@@ -393,7 +393,7 @@
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, STRUCT_TIME.pack(*divmod(site.connect_timeout // US, 1_000_000)))
             limit_unsent(self.sock)
         except OSError as wrong:  # not established
-            return self.end("unreachable" if speaks_against_server(wrong.errno) else "unsent", end_of(wrong), wrong.strerror or "timed out")
+            return self.end("unreachable" if counts_against_server(wrong.errno) else "unsent", end_of(wrong), wrong.strerror or "timed out")
         self.last_received_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         self.connected = True
         self.write_queued()
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -238,7 +238,7 @@
 # Connections to servers.
 
 
-def speaks_against_server(number: int | None) -> bool:
+def counts_against_server(number: int | None) -> bool:
     """Whether a dial that failed with that errno to its end says something of the server, and not of this machine."""
     return number not in OWN_DIAL_FAILURES
 
