--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -15,7 +15,7 @@
 from fieldspur.net.invariants import contained_errors
 from fieldspur.net.nonblocking import MONOTONIC_TO_UNIX_NS, PEER_CLOSED, receive_poll, write_nonblocking
 from fieldspur.net.timer_wheel import NEVER
-from fieldspur.permissions import counts_against_server, may_dial_again
+from fieldspur.permissions import counts_against_server, may_redial
 from fieldspur.record import record
 from fieldspur.site import MS, US
 
@@ -410,7 +410,7 @@
                 self.sock.settimeout(max(DIAL_PAUSE, until - time.monotonic()))
                 return self.sock.connect(self.address)
             except OSError as wrong:
-                if self.closed or not may_dial_again(wrong.errno, until - time.monotonic() - DIAL_PAUSE):
+                if self.closed or not may_redial(wrong.errno, until - time.monotonic() - DIAL_PAUSE):
                     raise
             time.sleep(DIAL_PAUSE)
 
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -243,7 +243,7 @@
     return number not in OWN_DIAL_FAILURES
 
 
-def may_dial_again(number: int | None, left_s: float) -> bool:
+def may_redial(number: int | None, left_s: float) -> bool:
     """Whether a dial that failed with that errno is tried again, with so much of its time left."""
     return left_s > 0 and (number in OWN_DIAL_FAILURES or number in NO_ROUTE)
 
