--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -280,8 +280,8 @@
     deployment_settings = copy.deepcopy(settings())
     deployment_settings.pop("shape", None)
     deployment_settings["familyInfo"].pop("says", None)
-    router = deployment(deployment_settings).router
+    router = deployment(deployment_settings).router_options
     assert (router["without_notes"], router["watch_only"]) == (False, False)
     deployment_settings["familyInfo"]["says"], deployment_settings["shape"] = "none", "watch"
-    router = deployment(deployment_settings).router
+    router = deployment(deployment_settings).router_options
     assert (router["without_notes"], router["watch_only"]) == (True, True)
