--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -423,7 +423,7 @@
             "acts": name == acts,
             "counts": one.life > 0 if one.votes else name in counted,
             "life": one.life,
-            "document": one.work.number if one.votes else None,
+            "document": one.document.number if one.votes else None,
             "goes_by": one.report.applied_number if one.report else None,
             "in_doubt": one.report.list_unknown if one.report else None,
         }
--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -39,7 +39,7 @@
     life: int
     ballot: tuple
     requests_lease: bool  # it wants to be coordinator, and publishes a tick under its own ballot
-    work: work_orders.WorkDocument
+    document: work_orders.WorkDocument
     report: Report | None
 
 
@@ -102,7 +102,7 @@
 
 def latest_document(statuses: dict[str, MemberStatus | str]) -> work_orders.WorkDocument:
     return max(
-        (status.work for status in statuses.values() if isinstance(status, MemberStatus)),
+        (status.document for status in statuses.values() if isinstance(status, MemberStatus)),
         key=lambda document: document.number,
         default=work_orders.EMPTY_DOCUMENT,
     )
--- a/fieldspur/fleet/coordinator.py
+++ b/fieldspur/fleet/coordinator.py
@@ -118,17 +118,25 @@
 class Coordinator:
     """One member's knowledge of the work document and of the other members.
 
-    `names` are the voting members, in their order; `own` is one of them, or a follower. `length` is the length of a lease, `longest`
-    the longest time limit of a txn and `warm_up` the time from a server's start to its full load, all in ns."""
+    `voter_names` are the voting members, in their order; `own_name` is one of them, or a follower. `lease_length` is the length of a
+    lease, `max_time_limit` the longest time limit of a txn and `warm_up` the time from a server's start to its full load, all in ns."""
 
     def __init__(
-        self, names: list[str], own: str, zone: str, length: int, bounds: planner.Bounds, strict: bool, longest: int, warm_up: int
+        self,
+        voter_names: list[str],
+        own_name: str,
+        zone: str,
+        lease_length: int,
+        bounds: planner.Bounds,
+        strict: bool,
+        max_time_limit: int,
+        warm_up: int,
     ):
-        self.names, self.own, self.zone = names, own, zone
-        self.bounds, self.strict, self.longest, self.warm_up = bounds, strict, longest, warm_up
-        self.beat, self.lease_request_interval = length // 6, length // LEASE_REQUESTS_PER_LENGTH
+        self.voter_names, self.own_name, self.zone = voter_names, own_name, zone
+        self.bounds, self.strict, self.max_time_limit, self.warm_up = bounds, strict, max_time_limit, warm_up
+        self.beat, self.lease_request_interval = lease_length // 6, lease_length // LEASE_REQUESTS_PER_LENGTH
         self.requests: list[work_orders.WorkRequest] = []  # of this router's operators' file
-        self.list_lease, self.granted_leases = ListLease(length), GrantedListLeases(length)
+        self.list_lease, self.granted_leases = ListLease(lease_length), GrantedListLeases(lease_length)
         self.left_members: list[str] = []  # followers that an operator has marked as left
         self.reports: dict[str, Report] = {}  # by member, the latest one
         self.without_reports: set[str] = set()  # members of an older version, whose lines have no `work`
@@ -185,13 +193,13 @@
 
     def is_counted(self) -> bool:
         """Whether no machine goes out that this router may still use: it votes, or the document names it."""
-        return self.own in self.names or self.own in self.document.routers
+        return self.own_name in self.voter_names or self.own_name in self.document.routers
 
     def pending_requests(self) -> tuple:
         """The requests that this member publishes."""
-        pending = work_orders.pending_requests(self.requests, self.document, self.own)
+        pending = work_orders.pending_requests(self.requests, self.document, self.own_name)
         if not self.is_counted():
-            pending = (("join", self.own), *pending)
+            pending = (("join", self.own_name), *pending)
         return (*(("leave", name) for name in self.left_members), *pending)[:MAX_REQUESTS]  # a listed member can't join again
 
     # Lines.
@@ -219,15 +227,15 @@
         """The loads for the report: one for each server that has an order or is not healthy, and the sums of the other caches and of
         the other parents."""
         ordered = {order.machine for order in self.document.orders}
-        single = {name: row for name, row in self.loads.items() if name in ordered or row[3] != HEALTHY}
+        single_loads = {name: row for name, row in self.loads.items() if name in ordered or row[3] != HEALTHY}
         sums = [[0.0, 0.0, 0.0, 0], [0.0, 0.0, 0.0, 0]]
         for name, row in self.loads.items():
-            if name not in single:
+            if name not in single_loads:
                 kind_sum = sums[self.listings.get(name, work_orders.Listing()).kind == "parent"]
                 for column in range(3):
                     kind_sum[column] = round(kind_sum[column] + row[column], 3)
                 kind_sum[3] += 1
-        return dict(sorted(single.items())[:MAX_LOADS]), sums
+        return dict(sorted(single_loads.items())[:MAX_LOADS]), sums
 
     def line_published(self) -> None:
         """To be called once the result of `line` is published."""
@@ -248,43 +256,45 @@
             self.without_reports.add(name)
             self.reports.pop(name, None)
             return
-        report, before = parse_report(raw, nonce), self.reports.get(name)
+        report, previous = parse_report(raw, nonce), self.reports.get(name)
         grants = raw.get("grants", [])
         if (
             type(grants) is not list
-            or len(grants) > work_orders.MAX_ROUTERS + len(self.names)
+            or len(grants) > work_orders.MAX_ROUTERS + len(self.voter_names)
             or not all(type(grant) is list and len(grant) == 3 and type(grant[0]) is str for grant in grants)
         ):
             raise register_codec.BadLine("work.grants: a list of members wanted")
         checked_grants = [
-            (to, register_codec.whole_number(process, "work.grants"), register_codec.whole_number(count, "work.grants"))
-            for to, process, count in grants
+            (grantee, register_codec.whole_number(process_nonce, "work.grants"), register_codec.whole_number(lease_count, "work.grants"))
+            for grantee, process_nonce, lease_count in grants
         ]
         self.without_reports.discard(name)
         if report.loads is None:
-            report = report._replace(loads=before.loads, other_loads=before.other_loads) if before else report._replace(loads={})
+            report = report._replace(loads=previous.loads, other_loads=previous.other_loads) if previous else report._replace(loads={})
         self.reports[name] = report
-        for to, process, count in checked_grants:
-            if to == self.own and process == own_nonce:
-                self.list_lease.renew(count)
+        for grantee, process_nonce, lease_count in checked_grants:
+            if grantee == self.own_name and process_nonce == own_nonce:
+                self.list_lease.renew(lease_count)
 
     # The passing of time.
 
-    def tick(self, now: int, is_active: bool, values: list, suspected: Iterable, fleet_exists: bool, may_be: Iterable = ()) -> None:
+    def tick(
+        self, now: int, is_active: bool, values: list, suspected: Iterable, fleet_exists: bool, possible_values: Iterable = ()
+    ) -> None:
         """To be called about four times a beat, before the line of `now` is made.
 
         `values` are the decided value and the values that may be decided. A member that goes by an older document than they require
         gets no lease, because it may use a machine that is out by one of them. `suspected`: members that the failure detector suspects,
-        by number or name. `may_be`: values that are or may be decided somewhere, though this member does not know it yet."""
+        by number or name. `possible_values`: values that are or may be decided somewhere, though this member does not know it yet."""
         self.possibly_announced = frozenset().union(
             *(
                 document.machines_in(work_orders.ANNOUNCED)
-                for document in map(work_orders.read_document, may_be)
+                for document in map(work_orders.read_document, possible_values)
                 if document.number > self.document.number
             )
         )
         self.is_active, self.fleet_exists = is_active, fleet_exists
-        self.suspected = frozenset(self.names[member] if type(member) is int else member for member in suspected)
+        self.suspected = frozenset(self.voter_names[member] if type(member) is int else member for member in suspected)
         self.granted_leases.set_active(is_active, now)
         self.is_list_unknown = self.list_unknown(now)
         if (self.document.orders or self.strict) and now - self.lease_requested_at >= self.lease_request_interval:
@@ -295,9 +305,9 @@
             return
         min_number = max(work_orders.read_document(value).min_lease_number() for value in values)
         for name, report in self.reports.items():
-            counts = name in self.names or name in self.document.routers  # the next coordinator may not know of others
+            is_counted = name in self.voter_names or name in self.document.routers  # the next coordinator may not know of others
             if (
-                counts
+                is_counted
                 and report.lease_count
                 and report.applied_number >= min_number
                 and self.grants.get(name) != (report.nonce, report.lease_count)
@@ -314,7 +324,7 @@
         self.succession_checked_at, self.cached_reports = now, None
         before = work_orders.read_document(value)
         requests = [(name, request) for name, report in self.reports.items() for request in report.requests]
-        requests += [(self.own, work_orders.read_request(request)) for request in self.pending_requests()]
+        requests += [(self.own_name, work_orders.read_request(request)) for request in self.pending_requests()]
         self.wanted_machines = {order.machine for order in before.orders} | {request[2] for _, request in requests if request[0] == "add"}
         self.remember_load_shares(now)
         after = work_orders.next_document(before, requests, self.fleet_view(now))
@@ -358,11 +368,11 @@
 
     def other_members(self) -> list[str]:
         """All members except this one that may use machines: voting members and counted followers."""
-        return [name for name in (*self.names, *self.document.routers) if name != self.own]
+        return [name for name in (*self.voter_names, *self.document.routers) if name != self.own_name]
 
     def members_not_notified(self, number: int) -> list[str]:
         """Members that have not reported that they applied that document, and that go on serving while the list is unknown to them."""
-        members = [] if self.applied_number >= number else [self.own]
+        members = [] if self.applied_number >= number else [self.own_name]
         for name in self.other_members():
             report = self.reports.get(name)
             if (
@@ -378,7 +388,7 @@
 
     def members_that_may_use(self, number: int, now: int) -> list[str]:
         """Members that have not applied that document and may still hold a lease."""
-        members = [] if self.applied_number >= number else [self.own]
+        members = [] if self.applied_number >= number else [self.own_name]
         return members + [
             name
             for name in self.other_members()
@@ -391,7 +401,7 @@
         A member's report that nothing is open counts if it has applied the document, or if it reports that the list is unknown to it
         and its lease has ended. A member that can't be reached has nothing open once its lease has ended and the longest time limit
         after that is over."""
-        members = [self.own] if self.applied_number < number or self.open_hops.get(machine, 1) else []
+        members = [self.own_name] if self.applied_number < number or self.open_hops.get(machine, 1) else []
         for name in self.other_members():
             report = self.reports.get(name)
             if (
@@ -401,7 +411,7 @@
             ):
                 continue
             reachable = report is not None and name not in self.suspected
-            if not reachable and self.granted_leases.has_ended(name, now, self.longest + OPEN_HOP_SLACK_NS):
+            if not reachable and self.granted_leases.has_ended(name, now, self.max_time_limit + OPEN_HOP_SLACK_NS):
                 continue
             members.append(name)
         return members
@@ -516,12 +526,16 @@
     def load_share(self, machine: str, pool: planner.MachinePool) -> tuple[float, float, float]:
         """The load of the machine's location, the machine's own load, and its share of the location's capacity, which is its share of
         an evenly spread load. The first and last are 0 where the location is idle."""
-        own = pool.machines.get(machine)
-        if own is None:
+        own_machine = pool.machines.get(machine)
+        if own_machine is None:
             return 0.0, 0.0, 0.0
-        peers = [peer for peer in pool.machines.values() if (peer.zone, peer.is_parent) == (own.zone, own.is_parent)]
+        peers = [peer for peer in pool.machines.values() if (peer.zone, peer.is_parent) == (own_machine.zone, own_machine.is_parent)]
         load, capacity = sum(peer.load for peer in peers), sum(peer.capacity for peer in peers)
-        return (load, own.load, own.capacity / capacity) if capacity and load > IDLE_UTILIZATION * capacity else (0.0, own.load, 0.0)
+        return (
+            (load, own_machine.load, own_machine.capacity / capacity)
+            if capacity and load > IDLE_UTILIZATION * capacity
+            else (0.0, own_machine.load, 0.0)
+        )
 
     def remember_load_shares(self, now: int) -> None:
         """Stores the share of the load that a machine carries before it goes out: it is expected to carry that share again."""
--- a/fieldspur/fleet/follower.py
+++ b/fieldspur/fleet/follower.py
@@ -53,7 +53,7 @@
         """Reads a line of a voting member; raises BadLine where it is invalid or of another fleet."""
         check_fleet(self.fleet, value)
         register = self.decode_cached(member, value.get("register"))
-        self.coordinator.receive_line(value, self.coordinator.names[member], register.nonce, self.nonce, (register.decided.value,))
+        self.coordinator.receive_line(value, self.coordinator.voter_names[member], register.nonce, self.nonce, (register.decided.value,))
         self.views[member] = register
         self.failure_detector.record_line(member, register.nonce, now)
         if register.decided.stamp > self.decided.stamp:
@@ -78,8 +78,8 @@
     def is_up_to_date(self) -> bool:
         """Whether this router may serve: no fleet exists yet, or the document counts this router and it knows at least the documents that
         an earlier process of it may have reported as applied."""
-        remembers = self.resumed or has_majority_view(self.views)
-        return remembers and self.coordinator.is_counted() or not self.may_be_founded()
+        knows_earlier_reports = self.resumed or has_majority_view(self.views)
+        return knows_earlier_reports and self.coordinator.is_counted() or not self.may_be_founded()
 
     def line(self) -> dict:
         return {"fleet": self.fleet, "follower": self.name, "nonce": self.nonce, **self.coordinator.line()}
--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -30,10 +30,10 @@
 
 
 class ServerListOverlay:
-    """Takes list changes from the discovery client in the place of the router host (`route`), and passes them on to it."""
+    """Takes list changes from the discovery client in the place of the router host (`router_host`), and passes them on to it."""
 
-    def __init__(self, route):
-        self.route, self.site = route, route.site
+    def __init__(self, router_host):
+        self.router_host, self.site = router_host, router_host.site
         kinds, fleet = self.site.kinds, self.site.pool_options
         self.kinds = {name: "parent" if n == fleet["parent_kind"] else "cache" for n, name in enumerate(kinds) if n != fleet["origin_kind"]}
         self.lock = threading.Lock()
@@ -50,13 +50,13 @@
     # Methods that the discovery client calls.
 
     def start_batch(self) -> None:
-        self.route.start_batch()
+        self.router_host.start_batch()
 
     def finish_batch(self) -> None:
-        self.route.finish_batch()
+        self.router_host.finish_batch()
 
     def purge_received(self, purge, now: bool = False) -> None:
-        self.route.purge_received(purge, now)
+        self.router_host.purge_received(purge, now)
 
     def list_received(self, change: ListChange, now: bool = False) -> None:
         with self.lock:  # one list change at a time; the discovery thread collects events meanwhile and waits for nothing
@@ -70,7 +70,7 @@
                 if row.state == "gone":
                     self.gone_names[row.name] = None
             self.forget_gone()
-            self.route.list_received(ListChange(change.complete, tuple(map(self.row_for_router, change.servers))), now)
+            self.router_host.list_received(ListChange(change.complete, tuple(map(self.row_for_router, change.servers))), now)
 
     def listing(self, row: ListedServer) -> Listing:
         """The listed server as the coordinator sees it; `kind` is empty for servers that work orders do not cover."""
@@ -106,14 +106,14 @@
             self.withdrawn, self.returns = withdrawn, returns
             self.returned_at |= dict.fromkeys(new_returns, time.time_ns() // MS * MS)
             rows = tuple(self.row_for_router(self.servers[name]) for name in sorted(changed) if name in self.servers)
-            self.route.start_batch()
+            self.router_host.start_batch()
             if rows:
-                self.route.list_received(ListChange(False, rows))
-        self.route.finish_batch()
+                self.router_host.list_received(ListChange(False, rows))
+        self.router_host.finish_batch()
 
     def set_usage_check(self, is_uncertain: Callable[[str], bool] | None) -> None:
         """Sets the function that is called just before each write, and returns True if the server must not be used at this moment."""
-        self.route.pool.rules.is_uncertain = is_uncertain
+        self.router_host.pool.rules.is_uncertain = is_uncertain
 
     def reject_all(self, rejects_all: bool) -> None:
         """Makes the router reject all txns, or serve again. Used while the list is unknown to it."""
@@ -123,32 +123,32 @@
         if not self.gate_opened:  # the startup gate is still closed
             return
         if rejects_all:
-            self.route.post(self.route.close_gate, ClosedGate(), "no word of the fleet")
+            self.router_host.post(self.router_host.close_gate, ClosedGate(), "no word of the fleet")
         else:
-            self.route.post(self.route.open_gate, "word of the fleet")
+            self.router_host.post(self.router_host.open_gate, "word of the fleet")
 
     def startup_gate_opened(self) -> None:
         """The startup gate has opened. Without this, a router to which the list was unknown before the gate opened would serve."""
         self.gate_opened = True
         if self.rejects_all:
-            self.route.post(self.route.close_gate, ClosedGate(), "no word of the fleet")
+            self.router_host.post(self.router_host.close_gate, ClosedGate(), "no word of the fleet")
 
     def count_open_hops(self, machines) -> dict[str, int]:
         """The number of hops that are open at each machine, or that name it as their source."""
-        counts, servers = {}, self.route.router.pool.servers
+        counts, servers = {}, self.router_host.router.pool.servers
         for name in machines:
             server = servers.get(name)
             counts[name] = len(server.in_flight) + len(server.sourced_hops) if server is not None else 0
         return counts
 
-    def request_loads(self, done: Callable[[dict, tuple], None]) -> None:
-        """Asks the router host's thread to measure the loads and to call `done(loads, rejected_rates)` there."""
-        self.route.post(self.measure_loads, done)
+    def request_loads(self, callback: Callable[[dict, tuple], None]) -> None:
+        """Asks the router host's thread to measure the loads and to call `callback(loads, rejected_rates)` there."""
+        self.router_host.post(self.measure_loads, callback)
 
-    def measure_loads(self, done: Callable) -> None:
+    def measure_loads(self, callback: Callable) -> None:
         """Measures the loads of all servers and the rates of rejected and of all txns. Runs in the router host's thread."""
-        fleet: ServerPool = self.route.router.pool
-        now = self.route.now()
+        fleet: ServerPool = self.router_host.router.pool
+        now = self.router_host.now()
         loads = {}
         for index, server in enumerate([*fleet.caches, *fleet.parents][:MAX_LOADS]):
             is_parent = index >= len(fleet.caches)
@@ -162,9 +162,9 @@
             share = fleet.slow_start[is_parent][0]
             capacity = server.rating if is_parent else max(server.capacity / share, 0.01)
             load = fleet.transfer_rate(server, now)
-            fills = load * SECOND / max(1.0, self.route.router.mean_transfer_time)
+            fills = load * SECOND / max(1.0, self.router_host.router.mean_transfer_time)
             loads[server.name] = [round_figure(capacity), round_figure(load), round_figure(fills), condition]
-        counts, (rejected, finished, counted_at) = self.route.open_txns.counts, self.total_counts
+        counts, (rejected, finished, counted_at) = self.router_host.open_txns.counts, self.total_counts
         self.total_counts = (
             counts["rejected"] + counts["aborted"],
             sum(counts[outcome] for outcome in ("completed", "rejected", "aborted")),
@@ -174,4 +174,4 @@
         self.recent_counts = tuple(
             recent * remaining_part + new - old for recent, new, old in zip(self.recent_counts, self.total_counts, (rejected, finished))
         )
-        done(loads, tuple(round_figure(max(0.0, count) * SECOND / REJECTED_DECAY_NS) for count in self.recent_counts))
+        callback(loads, tuple(round_figure(max(0.0, count) * SECOND / REJECTED_DECAY_NS) for count in self.recent_counts))
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -86,7 +86,7 @@
         if self.coordinator is not None:
             self.coordinator.receive_line(
                 value,
-                self.coordinator.names[member],
+                self.coordinator.voter_names[member],
                 register.nonce,
                 self.register.nonce,
                 (stamped.value for stamped in (register.accepted, register.said, register.decided)),
--- a/fieldspur/fleet/planner.py
+++ b/fieldspur/fleet/planner.py
@@ -98,39 +98,39 @@
             return f"{min(missing)} is not on the board"
         if len(out) > bounds.at_once:
             return f"{len(out)} machines out, bounds.at_once allows {bounds.at_once}"
-        gone = out if ideal else out | self.away
-        parents_gone = [name for name in gone if self.machines[name].is_parent]
-        if parents_gone and (reason := self.check_parents(out, parents_gone, gone)):
+        unavailable = out if ideal else out | self.away
+        unavailable_parents = [name for name in unavailable if self.machines[name].is_parent]
+        if unavailable_parents and (reason := self.check_parents(out, unavailable_parents, unavailable)):
             return reason
-        caches_gone = [name for name in gone if not self.machines[name].is_parent]
+        unavailable_caches = [name for name in unavailable if not self.machines[name].is_parent]
         for zone in sorted({self.machines[name].zone for name in out if not self.machines[name].is_parent}):
-            if reason := self.check_zone(zone, [name for name in caches_gone if self.machines[name].zone == zone], ideal):
+            if reason := self.check_zone(zone, [name for name in unavailable_caches if self.machines[name].zone == zone], ideal):
                 return reason
         if any(not self.machines[name].is_parent for name in out):
-            share = sum(self.machines[name].capacity for name in caches_gone) / (self.total_capacity or 1.0)
-            if len(caches_gone) > 1 and share > bounds.all * (1 + CAPACITY_TOLERANCE):
+            share = sum(self.machines[name].capacity for name in unavailable_caches) / (self.total_capacity or 1.0)
+            if len(unavailable_caches) > 1 and share > bounds.all * (1 + CAPACITY_TOLERANCE):
                 return f"{share:.2f} of all capacity out, bounds.all allows {bounds.all:.2f}"
-        fills = sum(self.machines[name].fills for name in gone)
+        fills = sum(self.machines[name].fills for name in unavailable)
         if bounds.fills and fills > bounds.fills + 1e-9:
             return f"{fills:.0f} more fills a second, bounds.fills_s allows {bounds.fills:g}"
         return ""
 
-    def check_parents(self, out: frozenset, parents_gone: list, gone: frozenset) -> str:
+    def check_parents(self, out: frozenset, unavailable_parents: list, unavailable: frozenset) -> str:
         """A parent may go out only while all caches are there: by the shared hash each cache depends on each parent."""
         bounds, parents_out = self.bounds, [name for name in out if self.machines[name].is_parent]
         if not parents_out:  # a cache is to go out while a parent is away
-            return f"{min(parents_gone)} is away, on which the caches lean"
-        if len(parents_gone) > bounds.parents:
-            return f"{len(parents_gone)} parents out, bounds.parents allows {bounds.parents}"
-        if len(parents_gone) == len(self.parents):
+            return f"{min(unavailable_parents)} is away, on which the caches lean"
+        if len(unavailable_parents) > bounds.parents:
+            return f"{len(unavailable_parents)} parents out, bounds.parents allows {bounds.parents}"
+        if len(unavailable_parents) == len(self.parents):
             return "no parent would be left"
-        caches_gone = sorted(name for name in gone if not self.machines[name].is_parent)
-        if caches_gone:
-            return f"{caches_gone[0]} is away, that leans on {min(parents_out)}"
-        remaining = sum(self.machines[name].capacity for name in self.parents if name not in gone)
+        unavailable_caches = sorted(name for name in unavailable if not self.machines[name].is_parent)
+        if unavailable_caches:
+            return f"{unavailable_caches[0]} is away, that leans on {min(parents_out)}"
+        remaining_capacity = sum(self.machines[name].capacity for name in self.parents if name not in unavailable)
         load = sum(self.machines[name].load for name in self.parents)
-        if load > bounds.headroom * remaining + 1e-9:
-            return f"parents: a load of {load:.1f}, bounds.headroom allows {bounds.headroom * remaining:.1f} of those that stay"
+        if load > bounds.headroom * remaining_capacity + 1e-9:
+            return f"parents: a load of {load:.1f}, bounds.headroom allows {bounds.headroom * remaining_capacity:.1f} of those that stay"
         return ""
 
     def check_zone(self, zone: str, out: list, ideal: bool) -> str:
@@ -145,9 +145,9 @@
         load = sum(self.machines[name].load for name in names)
         if load > bounds.headroom * (total - capacity_out) + 1e-9:
             return f"{zone}: a load of {load:.1f}, bounds.headroom allows {bounds.headroom * (total - capacity_out):.1f} of what stays"
-        both = self.share_losing_both(names, out, total)
-        if both > bounds.both + 1e-9:
-            return f"{zone}: {both:.3f} of objects lose home and next cache, bounds.both allows {bounds.both:.3f}"
+        share = self.share_losing_both(names, out, total)
+        if share > bounds.both + 1e-9:
+            return f"{zone}: {share:.3f} of objects lose home and next cache, bounds.both allows {bounds.both:.3f}"
         return ""
 
     def share_losing_both(self, names: list, out: list, total: float) -> float:
@@ -155,7 +155,9 @@
         probability of its share of the total capacity, another one second with that of its share of the remaining capacity."""
         sizes = [self.machines[name].capacity or 0.01 for name in out]
         total = max(total, sum(sizes))
-        return sum(first / total * second / max(total - first, 1e-9) for first, second in itertools.permutations(sizes, 2))
+        return sum(
+            first_size / total * second_size / max(total - first_size, 1e-9) for first_size, second_size in itertools.permutations(sizes, 2)
+        )
 
 
 def schedule(order: Iterable[Unit], running: list[tuple[Unit, float]], pool: MachinePool) -> list[Step]:
@@ -218,25 +220,27 @@
 def min_plan_length(units: list[Unit], running: list[tuple[Unit, float]], pool: MachinePool) -> float:
     """A lower limit on the length of every plan: the longest unit, and units of which no two may be out together, one after the
     other."""
-    rows = [(unit.machines, unit.duration_s) for unit in units] + [(unit.machines, remaining_s) for unit, remaining_s in running]
-    limit = max((duration_s for _, duration_s in rows), default=0.0)
-    for machines, duration_s in rows:  # grows a clique of mutually exclusive units around each unit, greedily
+    outages = [(unit.machines, unit.duration_s) for unit in units] + [(unit.machines, remaining_s) for unit, remaining_s in running]
+    lower_limit = max((duration_s for _, duration_s in outages), default=0.0)
+    for machines, duration_s in outages:  # grows a clique of mutually exclusive units around each unit, greedily
         clique, length = [machines], duration_s
-        for other, other_duration_s in sorted(rows, key=lambda row: -row[1]):
+        for other, other_duration_s in sorted(outages, key=lambda row: -row[1]):
             if other not in clique and all(pool.violated_bound(other | member, True) for member in clique):
                 clique.append(other)
                 length += other_duration_s
-        limit = max(limit, length)
-    limit = max(limit, sum(len(machines) * duration_s for machines, duration_s in rows) / pool.bounds.at_once)
+        lower_limit = max(lower_limit, length)
+    lower_limit = max(lower_limit, sum(len(machines) * duration_s for machines, duration_s in outages) / pool.bounds.at_once)
     # The capacity that is out, integrated over time, divided by the capacity that may be out at any moment.
     for zone, names in pool.caches_by_zone.items():
-        zone_rows = [(sum(pool.machines[name].capacity for name in machines if name in names), duration_s) for machines, duration_s in rows]
+        zone_outages = [
+            (sum(pool.machines[name].capacity for name in machines if name in names), duration_s) for machines, duration_s in outages
+        ]
         capacity, load = (sum(pool.machines[name][field] for name in names) for field in (2, 3))  # fields of Machine
-        max_out = min(pool.bounds.zone * capacity, capacity - load / pool.bounds.headroom)
-        max_out = max([max_out] + [unit_capacity for unit_capacity, _ in zone_rows])
-        if max_out > 0:
-            limit = max(limit, sum(unit_capacity * duration_s for unit_capacity, duration_s in zone_rows) / max_out)
-    return limit
+        max_capacity_out = min(pool.bounds.zone * capacity, capacity - load / pool.bounds.headroom)
+        max_capacity_out = max([max_capacity_out] + [unit_capacity for unit_capacity, _ in zone_outages])
+        if max_capacity_out > 0:
+            lower_limit = max(lower_limit, sum(unit_capacity * duration_s for unit_capacity, duration_s in zone_outages) / max_capacity_out)
+    return lower_limit
 
 
 def make_plan(units: list[Unit], running: list[tuple[Unit, float]], pool: MachinePool) -> Plan:
--- a/fieldspur/fleet/work_orders.py
+++ b/fieldspur/fleet/work_orders.py
@@ -273,9 +273,9 @@
 def refusal_reason(document: WorkDocument, request: tuple, by: str, view: FleetView) -> str:
     """Why the "add" request can't become an order; '' where it can."""
     machine = request[2]
-    same = next((order for order in document.orders if order.machine == machine), None)
-    if same is not None:
-        return f"{machine} is asked for already, by {same.by} as {same.ident}"
+    existing = next((order for order in document.orders if order.machine == machine), None)
+    if existing is not None:
+        return f"{machine} is asked for already, by {existing.by} as {existing.ident}"
     for name in (machine, *request[5]):
         listing = view.listings.get(name)
         if listing is None or not listing.kind:
@@ -355,11 +355,11 @@
     """The order and all orders of machines that must be out together with it, directly or through others."""
     machines = {order.machine}
     while True:
-        more = {other.machine for other in document.orders if other.machine in machines or machines & set(other.beside)}
-        more |= {name for other in document.orders if other.machine in machines for name in other.beside}
-        if more <= machines:
+        grown = {other.machine for other in document.orders if other.machine in machines or machines & set(other.beside)}
+        grown |= {name for other in document.orders if other.machine in machines for name in other.beside}
+        if grown <= machines:
             return [other for other in document.orders if other.machine in machines]
-        machines |= more
+        machines |= grown
 
 
 def group_obstacle(order: Order, document: WorkDocument) -> str:
@@ -373,12 +373,12 @@
 def planning_units(document: WorkDocument, view: FleetView) -> tuple[list, list, dict]:
     """The units that may begin; the units that are away, each with the seconds until it is back; notes for the other orders, by
     ident, that say what they wait for."""
-    ready, running, notes, seen = [], [], {}, set()
+    ready, running, notes, seen_idents = [], [], {}, set()
     for order in document.orders:
-        if order.ident in seen:
+        if order.ident in seen_idents:
             continue
         group = order_group(order, document)
-        seen |= {member.ident for member in group}
+        seen_idents |= {member.ident for member in group}
         duration_s = view.drain_s + max(member.needs for member in group) + view.warm_up_s
         unit = planner.Unit(
             group[0].ident,
@@ -404,18 +404,18 @@
 
 def next_document(document: WorkDocument, requests: Iterable[tuple[str, tuple]], view: FleetView) -> WorkDocument | None:
     """The document that follows, None where nothing changes."""
-    following = with_requests(document, requests, view)
+    successor = with_requests(document, requests, view)
     number = document.number + 1
-    for order in following.orders:
-        updated = next_step(order, following, view, number)
+    for order in successor.orders:
+        updated = next_step(order, successor, view, number)
         if updated is None:
-            following = with_ended(following, order, DONE, order.note if order.note == "withdrawn" else "", number)
+            successor = with_ended(successor, order, DONE, order.note if order.note == "withdrawn" else "", number)
         elif updated is not order:
-            following = with_order(following, updated)
-    following = apply_plan(following, view, number)
-    if following == document:
+            successor = with_order(successor, updated)
+    successor = apply_plan(successor, view, number)
+    if successor == document:
         return None
-    return following._replace(number=number)
+    return successor._replace(number=number)
 
 
 def next_step(order: Order, document: WorkDocument, view: FleetView, number: int) -> Order | None:
@@ -462,18 +462,18 @@
     """Announces the orders that the plan begins next, starts announced orders that all members know of, and takes back orders that
     the bounds no longer allow."""
     ready, running, notes = planning_units(document, view)
-    out = frozenset(machine for unit, _ in running for machine in unit.machines)
-    going = document.machines_in((GOING,))
-    away = document.machines_in(AWAY)
+    machines_out = frozenset(machine for unit, _ in running for machine in unit.machines)
+    machines_going = document.machines_in((GOING,))
+    machines_away = document.machines_in(AWAY)
     # The bounds may be violated now because the discovery service drained another machine, a location is in trouble, or load rose.
-    if going and (reason := view.pool.violated_bound(away)):
+    if machines_going and (reason := view.pool.violated_bound(machines_away)):
         for order in document.orders:
             if order.state == GOING and order.at < number:
                 document = with_order(document, in_state(order, NEXT, number, view.now_ms, reason))
         return document
     plan = view.make_plan(ready, running, view.pool)
     begins_now = {step.unit for step in plan.steps if step.start == 0.0}
-    planned_out = out
+    planned_out = machines_out
     announced = {order.ident for order in document.orders if order.state == NEXT}
     for unit in sorted(ready, key=lambda unit: unit.name not in announced):  # an announced order keeps its turn
         unit_orders = [order for order in document.orders if order.machine in unit.machines]
@@ -487,9 +487,11 @@
             if order.state == WAITING and may_start and order.at < number:  # one document later, routers have their leases
                 document = with_order(document, in_state(order, NEXT, number, view.now_ms))
             elif order.state == NEXT and not may_start and order.at < number:
-                document = with_order(document, in_state(order, WAITING, number, view.now_ms, reason or wait_reason(unit, out, view)))
+                document = with_order(
+                    document, in_state(order, WAITING, number, view.now_ms, reason or wait_reason(unit, machines_out, view))
+                )
             elif order.state == WAITING:
-                notes[order.ident] = reason or wait_reason(unit, out, view)
+                notes[order.ident] = reason or wait_reason(unit, machines_out, view)
         updated_orders = [order for order in document.orders if order.machine in unit.machines]
         if may_start and all(order.state == NEXT and order.at < number for order in updated_orders):
             not_notified = view.members_not_notified(max(order.next_at for order in updated_orders))
@@ -505,6 +507,6 @@
     return document
 
 
-def wait_reason(unit: planner.Unit, out: frozenset, view: FleetView) -> str:
+def wait_reason(unit: planner.Unit, machines_out: frozenset, view: FleetView) -> str:
     """The bound that keeps the unit waiting, or that its turn comes later."""
-    return view.pool.violated_bound(out | unit.machines) or view.pool.violated_bound(unit.machines) or "its turn comes"
+    return view.pool.violated_bound(machines_out | unit.machines) or view.pool.violated_bound(unit.machines) or "its turn comes"
--- a/tests/simulated_fleet.py
+++ b/tests/simulated_fleet.py
@@ -10,8 +10,8 @@
 
 MS = 1_000_000
 SECOND = 1_000_000_000
-LENGTH = 1500 * MS  # of a lease
-LONGEST = 2 * SECOND  # time limit of a txn
+LEASE_LENGTH = 1500 * MS  # of a lease
+MAX_TIME_LIMIT = 2 * SECOND  # time limit of a txn
 WARM_UP = 2 * SECOND  # slow start of a machine
 GRACE = 250 * MS  # after a machine is out, in which routers may still use it
 
@@ -22,7 +22,7 @@
     def __init__(self):
         self.pending, self.pending_of_others = [], {}
 
-    names = [f"r{n}" for n in range(16)]
+    voter_names = [f"r{n}" for n in range(16)]
 
     def receive_line(self, value, name, nonce, own_nonce, agreed):
         self.pending_of_others[name] = [tuple(entry) for entry in value["wants"]]
@@ -58,9 +58,16 @@
     def new_member(self, n):
         nonce = self.random.randrange(1, 1 << 40)
         if n >= self.voters:
-            return Follower("valley", f"r{n}", nonce, self.voters, self.now, LENGTH, self.new_coordinator(n))
+            return Follower("valley", f"r{n}", nonce, self.voters, self.now, LEASE_LENGTH, self.new_coordinator(n))
         return Member(
-            "valley", consensus.blank_register(n, self.voters, nonce), self.voters, self.now, LENGTH, nonce, True, self.new_coordinator(n)
+            "valley",
+            consensus.blank_register(n, self.voters, nonce),
+            self.voters,
+            self.now,
+            LEASE_LENGTH,
+            nonce,
+            True,
+            self.new_coordinator(n),
         )
 
     def new_coordinator(self, n):
@@ -133,7 +140,7 @@
 
     def new_coordinator(self, n):
         coordinator = Coordinator(
-            [f"r{m}" for m in range(self.voters)], f"r{n}", "east", LENGTH, self.bounds, self.strict, LONGEST, WARM_UP
+            [f"r{m}" for m in range(self.voters)], f"r{n}", "east", LEASE_LENGTH, self.bounds, self.strict, MAX_TIME_LIMIT, WARM_UP
         )
         coordinator.requests = self.requests[n]
         self.inject_fault(coordinator)
@@ -185,7 +192,7 @@
         out_since = self.out_since.get(machine)
         if out_since is not None and now > out_since + GRACE:
             self.violations.append(f"r{n} used {machine} {(now - out_since) // MS} ms after it was out")
-        self.hops[n].append((machine, now, now + int(self.random.random() ** 4 * LONGEST)))
+        self.hops[n].append((machine, now, now + int(self.random.random() ** 4 * MAX_TIME_LIMIT)))
 
     def run(self, ms):
         for _ in range(0, ms, self.step_ms):
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from simulated_fleet import LENGTH, MS, SimulatedMembers
+from simulated_fleet import LEASE_LENGTH, MS, SimulatedMembers
 
 from fieldspur.fleet import register_codec
 from fieldspur.fleet.failure_detector import SUSPECT_PHI, FailureDetector, IntervalHistory
@@ -73,7 +73,7 @@
     other = next(n for n in range(3) if n != world.coordinator_history[-1])
     world.kill(other)
     world.start(other)
-    world.run(LENGTH // MS - 100)
+    world.run(LEASE_LENGTH // MS - 100)
     assert not world.nodes[other].register.life
     world.run(2000)
     assert world.nodes[other].register.life > 1
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from simulated_fleet import LENGTH, LONGEST, MS, SECOND, SimulatedFleet
+from simulated_fleet import LEASE_LENGTH, MAX_TIME_LIMIT, MS, SECOND, SimulatedFleet
 
 from fieldspur.fleet import coordinator, planner, work_orders
 from fieldspur.fleet.list_lease import GrantedListLeases, ListLease
@@ -441,7 +441,7 @@
     from fieldspur.fleet import register_codec
 
     possibly_decided = register_codec.freeze(work_orders.document_value(work_orders.WorkDocument(6, (order,))))
-    member = coordinator.Coordinator(["r0", "r1", "r2"], "r0", "east", LENGTH, planner.Bounds(), False, LONGEST, SECOND)
+    member = coordinator.Coordinator(["r0", "r1", "r2"], "r0", "east", LEASE_LENGTH, planner.Bounds(), False, MAX_TIME_LIMIT, SECOND)
     member.applied_number = 3
     for name, applied_number in (("r1", 3), ("r2", 5)):
         member.reports[name] = coordinator.Report(7, applied_number, 4, {}, False, False, {}, (), (0, 0), (), "east")
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -198,8 +198,8 @@
     assert not load.requests_to("c0", out_at + GRACE_S) and [fleet.state(n, "c0") for n in range(3)] == [work_orders.FREE] * 3
 
 
-@pytest.mark.parametrize("off", [300, -300])
-def test_clocks_that_are_set_by_minutes_change_no_order_and_routers_continue_to_serve(loaded_fleet, off):
+@pytest.mark.parametrize("clock_offset_s", [300, -300])
+def test_clocks_that_are_set_by_minutes_change_no_order_and_routers_continue_to_serve(loaded_fleet, clock_offset_s):
     """First the coordinator's clock is set, then that of another router. Agreement and leases use the monotonic clock, which can't be
     set."""
     fleet, load = loaded_fleet(3)
@@ -207,9 +207,9 @@
     other = (coordinator + 1) % 3
     fleet.request_work(other, {"machine": "c1", "needs_s": 2})
     until(lambda: fleet.state(other, "c1") in (work_orders.GOING, work_orders.OUT), "a machine that goes out")
-    fleet.clocks[coordinator].set(off)
+    fleet.clocks[coordinator].set(clock_offset_s)
     out_at = wait_until_out(fleet, other, "c1")
-    fleet.clocks[other].set(-off)
+    fleet.clocks[other].set(-clock_offset_s)
     until(lambda: fleet.state(other, "c1") == work_orders.FREE, "a free machine")
     answers_before = dict(load.answer_counts)
     time.sleep(2)
