--- a/fieldspur/fleet/consensus.py
+++ b/fieldspur/fleet/consensus.py
@@ -147,10 +147,10 @@
     are present and all are blank. The declaration holds for exactly these processes."""
     others = [view for view in views if view is not None and view.member != me.member]
     if me.life or any(other.life or other.back for other in others):
-        raise ValueError("there is a fleet: a member that forgot it comes back by what a majority knows")
+        raise ValueError("there is a fleet already: a member that lost its memory rejoins through a majority")
     missing = [str(n) for n, view in enumerate(views) if n != me.member and (view is None or not has_read_this_process(me, view))]
     if missing:
-        raise ValueError(f"not all members are there, missing: {', '.join(missing)}")
+        raise ValueError(f"not all members are present, missing: {', '.join(missing)}")
     return me._replace(founding=process_nonces([me, *others]))
 
 
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -22,14 +22,14 @@
 
 
 def handle_follower_line(fleet: str, name: str, value: dict, coordinator, own_nonce: int) -> None:
-    """Passes a follower's line to the coordinator. Raises BadLine if the line is not valid."""
+    """Passes a follower's line to `coordinator`. Raises BadLine if the line is not valid."""
     check_fleet(fleet, value)
     if value.get("follower") != name:
         raise register_codec.BadLine(f"follower: {str(value.get('follower'))[:40]} at {name}'s address")
     coordinator.receive_line(value, name, register_codec.whole_number(value.get("nonce"), "nonce", 1), own_nonce)
 
 
-def has_majority_view(views: list, me: int = -1) -> bool:
+def has_majority_view(views: list, own_number: int = -1) -> bool:
     """Whether registers of a majority of the voting members were read, or of all other members. What this process knows is then as
     recent as any document that was decided. Otherwise a process without memory could read a member that lags behind, although its
     previous incarnation had reported a later document: the coordinator relies on that report, and could withdraw a machine that
@@ -38,7 +38,7 @@
     return (
         len(with_memory) >= consensus.majority(len(views))
         or bool(with_memory)
-        and all(view is not None for n, view in enumerate(views) if n != me)
+        and all(view is not None for n, view in enumerate(views) if n != own_number)
     )
 
 
@@ -55,15 +55,15 @@
     ):
         """`coordinator` provides what this member reports to the others, and the value that follows an agreed value. Without a
         coordinator this member reports nothing and proposes no value."""
-        self.fleet, self.register, self.me, self.coordinator = fleet, register, register.member, coordinator
+        self.fleet, self.register, self.own_number, self.coordinator = fleet, register, register.member, coordinator
         self.beat, self.random = lease_length // BEATS_PER_LEASE, random.Random(seed)  # beat: ns between two ticks
         self.views: list = [None] * members  # by member: its last register
         self.decoded: list = [(None, None)] * members  # by member: its last register as JSON value and decoded
         self.acks: list = [None] * members  # by member: the tick that it acknowledged
         self.ticks: list = [(NO_BALLOT, 0)] * members  # by member: the ballot and tick that it published as holder
         self.now = now
-        self.lease = Lease(self.me, lease_length, started_at=now, lost_memory=lost_memory)
-        self.failure_detector = FailureDetector(self.me, members, now, self.beat, self.beat // 4)
+        self.lease = Lease(self.own_number, lease_length, started_at=now, lost_memory=lost_memory)
+        self.failure_detector = FailureDetector(self.own_number, members, now, self.beat, self.beat // 4)
         self.last_tick_at = 0
         self.request_ballot_at = now + lease_length  # the earliest time for a ballot of its own
         self.fenced = False
@@ -123,6 +123,7 @@
             self.failure_detector.record_line(member, self.views[member].nonce, now)
 
     def found_fleet(self) -> None:
+        """An operator declares that no fleet existed before. Raises ValueError if that is refused."""
         self.register = consensus.found_fleet(self.register, self.all_views())
 
     # What follows from the input.
@@ -130,10 +131,11 @@
     def all_views(self) -> list:
         """The last register of each member, with this member's own."""
         views = list(self.views)
-        views[self.me] = self.register
+        views[self.own_number] = self.register
         return views
 
     def step(self, now: int) -> None:
+        """Applies one step of the consensus to the register."""
         self.register = consensus.step(
             self.register, self.all_views(), lambda ballot: self.lease.may_promise(ballot, now), self.lease.may_rejoin(now)
         )
@@ -146,7 +148,7 @@
             return
         self.step(now)
         for ballot, tick in self.ticks:
-            if ballot == self.register.promised != NO_BALLOT and self.register.life and ballot[1] != self.me:
+            if ballot == self.register.promised != NO_BALLOT and self.register.life and ballot[1] != self.own_number:
                 self.lease.acknowledge(ballot, tick, now)
         for _ in range(2):
             proposed = consensus.propose(self.register, self.all_views(), self.successor)
@@ -173,10 +175,10 @@
 
     def is_up_to_date(self) -> bool:
         """Whether this process knows at least the document that any earlier process of this member may have reported."""
-        return self.register.life > 0 or not self.may_be_founded() or has_majority_view(self.views, self.me)
+        return self.register.life > 0 or not self.may_be_founded() or has_majority_view(self.views, self.own_number)
 
     def random_delay(self) -> int:
-        """ns to wait before a ballot of its own: random, and over more beats the more members there are, so that few compete."""
+        """ns to wait before requesting a ballot: random, and from a wider range the more members there are, so that few compete."""
         return int(self.beat * (1 + self.random.random() * len(self.views)))
 
     def tick(self, now: int) -> None:
@@ -197,7 +199,7 @@
             return
         if self.leads():
             above = max((view.promised for view in self.views if view is not None and view.life), default=NO_BALLOT)
-            if above > self.register.promised:  # a member that requested ballots while it read nobody would not follow this one
+            if above > self.register.promised:  # else a member that requested ballots while it read nobody would not follow
                 self.register = consensus.request_ballot(self.register, above)
             elif now - self.last_tick_at >= self.beat:
                 self.last_tick_at = now
@@ -205,7 +207,7 @@
             return
         if self.follows_coordinator(now):
             self.request_ballot_at = now + self.random_delay()
-        elif now >= self.request_ballot_at and self.lease.may_promise((self.register.promised[0] + 1, self.me), now):
+        elif now >= self.request_ballot_at and self.lease.may_promise((self.register.promised[0] + 1, self.own_number), now):
             self.request_ballot_at = now + 2 * self.beat + self.random_delay()
             self.register = consensus.request_ballot(self.register)
 
@@ -215,7 +217,7 @@
         promised_ballots = [view.promised for view in self.views if view is not None and view.life]
         for ballot in {self.register.promised, *promised_ballots}:
             if (
-                0 <= ballot[1] != self.me
+                0 <= ballot[1] != self.own_number
                 and not self.failure_detector.is_suspected(ballot[1], now)
                 and (ballot == self.register.promised or promised_ballots.count(ballot) >= consensus.majority(len(self.views)))
             ):
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -196,7 +196,7 @@
             for stamped in (stored.accepted, stored.said, stored.decided) if stored is not None else ():
                 work_orders.read_document(stamped.value)
         except work_orders.BadOrder as error:
-            raise StoreFailed(f"what was kept is of another version: {error}") from None
+            raise StoreFailed(f"the stored register is from another version: {error}") from None
         return stored
 
     def load_at_start(self) -> consensus.Register | None:
@@ -255,7 +255,7 @@
             time.sleep(max(MIN_POLL_INTERVAL_S, self.member.beat / 4e9))
             if self.member.fenced != fence_logged:  # it publishes nothing more, and uses its list until its list lease ends
                 fence_logged = True
-                log.error("fenced", extra={"kv": {"why": "a later process of this name is a member; this one takes part no more"}})
+                log.error("fenced", extra={"kv": {"why": "a later process with this name is a member; this one no longer takes part"}})
             if self.unreadable_reason:
                 self.retry_load()
             if time.monotonic() - loads_polled_at >= (LOAD_POLL_WARMING_S if self.coordinator.returning() else LOAD_POLL_S):
@@ -400,7 +400,7 @@
                 if not self.is_voter:
                     raise ValueError("this member does not vote")
                 if self.unreadable_reason:
-                    raise ValueError("what this member kept can't be read yet")
+                    raise ValueError("the stored register of this member can't be read yet")
                 self.member.found_fleet()
                 self.save()
             except ValueError as error:
