--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,7 +21,7 @@
 from fieldspur.net.client_listener import ClientConnection, ClientListener, encode
 from fieldspur.net.client_writer import AnswerSender, ClientWriter
 from fieldspur.net.connection_pool import ConnectionPool
-from fieldspur.net.discovery import DiscoveryClient, Gap, ListChange, ListedServer
+from fieldspur.net.discovery import DiscoveryClient, EventGap, ListChange, ListedServer
 from fieldspur.net.frames import Request
 from fieldspur.net.open_txns import Answer, OpenTxns, Txn
 from fieldspur.net.router_host import RouterHost
@@ -711,7 +711,7 @@
     """Found in the scenario herd+mass: restarted routers were ready with the list of their file, and named a draining parent 7 ms later."""
     discovery = DiscoveryClient(("127.0.0.1", 1), None, 1)
     discovery.last_number = 5
-    with pytest.raises(Gap):
+    with pytest.raises(EventGap):
         discovery.handle_line(b"7")  # the router has not got events 6 and 7
     assert not discovery.caught_up.is_set()
     discovery.handle_line(b"5")
