--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -78,7 +78,7 @@
             best = min(free, key=lambda lane: len(lane.open_hops)) if free else None
             breaking = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_break_at < self.site.idle_timeout
             if best is not None and (
-                not best.open or len(lanes) >= (LANES if breaking else 1) or self.unlocked_count() >= self.max_connections // 2
+                not best.open_hops or len(lanes) >= (LANES if breaking else 1) or self.unlocked_count() >= self.max_connections // 2
             ):
                 return best  # beyond half of the descriptors further ones are for servers that have none
             if self.unlocked_count() >= self.max_connections:
@@ -156,7 +156,7 @@
         with self.lock:
             if hop.ended:
                 return False  # its name was taken out of the lane by who gave it up
-            if hop.ident in self.undelivered_cancels and self.undelivered_cancels[hop.ident].lane is not hop.connection:
+            if hop.ident in self.undelivered_cancels and self.undelivered_cancels[hop.ident].connection is not hop.connection:
                 self.waiting_for_cancel[hop.ident] = hop
                 return False
             refusal = self.rules.refusal(hop, now)
