--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -672,7 +672,7 @@
     hop = keyed_retry_hop(pool, clock() + 300 * MS, 6, b"w" * 1_000_000)
     assert pool.enqueue(hop) is connection
     connection.write_queued()
-    until(lambda: connection.draining)
+    until(lambda: connection.rest_writer_active)
     until(lambda: len(pool.host.posted) == 2, limit=5)
     assert pool.host.posted[1][:2] == (hop, "unsent") and clock() >= hop.go_by - 2 * MS  # waits are in whole ms
     cache.go_on.set()
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -106,7 +106,7 @@
     hops = [hop(n, body=b"w" * 48_000, **about) for n in range(2, 2 + count)]
     for one in hops:
         assert go(send, one) is lane
-    until(lambda: lane.draining)
+    until(lambda: lane.rest_writer_active)
     return lane, hops
 
 
@@ -170,14 +170,14 @@
     cache.go_on.clear()
     hops = [hop(n, body=b"w" * 2000) for n in range(2, 3000)]
     for one in hops:
-        if lane.draining:
+        if lane.rest_writer_active:
             break
         go(send, one)
     last = [one for one in hops if one.written_at][-1]
-    assert lane.draining and not lane.unwritten
+    assert lane.rest_writer_active and not lane.unwritten
     assert send.give_up(last, clock())
     lane.write_queued()
-    assert not lane.cancels and not send.undelivered_cancels and lane.draining
+    assert not lane.cancels and not send.undelivered_cancels and lane.rest_writer_active
     go(send, next_of(last))
     until(lambda: other.wants)
     assert not cache.given_up
@@ -212,7 +212,7 @@
     send.enqueue(late)
     cache.go_on.set()
     until(lambda: len(cache.wants) >= 1 + len(begun))
-    until(lambda: lane.closed or not lane.draining and not lane.queue)
+    until(lambda: lane.closed or not lane.rest_writer_active and not lane.queue)
     if late.connection is not None:
         late.connection.write_queued()
     time.sleep(0.05)
@@ -262,7 +262,7 @@
     sizes = [sum(map(len, resp.encode_want(one.want))) for one in hops]
     takes = iter([taken])  # and nothing of what is left
     monkeypatch.setattr("fieldspur.net.server_connection.write_nonblocking", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
-    lane.draining = True  # nobody else pumps
+    lane.rest_writer_active = True  # nobody else pumps
     for one in hops:
         send.enqueue(one)
     left, cut, full = lane.write_batch()
@@ -283,16 +283,16 @@
     cache.go_on.clear()
     large = hop(2, body=b"w" * 200_000)
     assert go(send, large) is lane
-    assert large.written_at and not lane.draining and not lane.queue
+    assert large.written_at and not lane.rest_writer_active and not lane.queue
     after = hop(3)
     assert go(send, after) is lane
-    until(lambda: lane.draining)
+    until(lambda: lane.rest_writer_active)
     assert not after.written_at and list(lane.queue) == [after]
     send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
     send.refuse_stale_hops()
     assert send.host.posted[-1][:2] == (after, "unsent")
     cache.go_on.set()
-    until(lambda: len(cache.wants) == 2 and not lane.draining)
+    until(lambda: len(cache.wants) == 2 and not lane.rest_writer_active)
     assert [w["id"] for w in cache.wants] == ["%016x" % 1, large.name]
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -174,11 +174,11 @@
     lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
     for hop in hops[1:]:
         assert go(send, hop) is lane
-    until(lambda: lane.draining)
+    until(lambda: lane.rest_writer_active)
     assert not seen
     gate.set()
     until(lambda: len(seen) == 90)
-    assert seen == [(hop.name, 48_000) for hop in hops] and not lane.draining and not send.host.posted
+    assert seen == [(hop.name, 48_000) for hop in hops] and not lane.rest_writer_active and not send.host.posted
 
 
 def test_a_connection_that_breaks_under_half_a_write_says_which_hop_never_ran():
@@ -192,9 +192,9 @@
     bodies = [Hop(n, 0, f"{n:016x}", "c0", None, want(f"{n:016x}", b"w" * 48_000), clock()) for n in range(2, 150)]
     for hop in bodies:
         go(send, hop)
-        if lane.draining:
+        if lane.rest_writer_active:
             break
-    assert lane.draining
+    assert lane.rest_writer_active
     until(lambda: quiet.conns)
     quiet.reset()
     until(lambda: lane.closed and len(send.host.posted) == 1 + bodies.index(hop) + 1)
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -60,11 +60,11 @@
     failed = []
     finished = threading.Thread(target=lambda: failed.extend(raised_by(lane.write_rest)))
     with lane.write_lock:
-        lane.unwritten, lane.partial_hop, lane.draining = [b"*1\r\n$4\r\nrest\r\n"], probe, True
+        lane.unwritten, lane.partial_hop, lane.rest_writer_active = [b"*1\r\n$4\r\nrest\r\n"], probe, True
         limit_unsent(lane.sock)
     finished.start()
     finished.join(5)
-    assert not failed and not lane.draining and not lane.unwritten
+    assert not failed and not lane.rest_writer_active and not lane.unwritten
 
 
 def raised_by(call):
