--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -1,4 +1,4 @@
-"""The notice board: changes of the list of servers and purges, as numbered events."""
+"""The client of the discovery service, which publishes changes of the server list and purges as numbered events."""
 
 from __future__ import annotations
 
@@ -14,16 +14,21 @@
 from fieldspur.site import MS, ConfigError, Section, parse_address
 
 log = logging.getLogger("fieldspur.board")
-STATES = {"up": "up", "draining": "draining", "removed": "gone"}
-SILENCE_LIMIT_S = 2.0  # seconds without a whole line; the board writes one each second
-WAIT_FIRST, WAIT_MOST = 0.05, 1.0  # seconds between connections
-MOST_LINE = 4 << 20
-SETTLE = 0.04  # seconds without more after events: what the board held has come, its last number may take a second yet
-CATCH_UP_LIMIT_S, LOOK_PAUSE = 0.25, 0.0005  # seconds that `caught_up` takes at most; between its looks
+STATES = {"up": "up", "draining": "draining", "removed": "gone"}  # of a server: as discovery calls it -> as the Router does
+SILENCE_LIMIT_S = 2.0  # a connection without a whole line for that long is closed; the service writes one line each second
+MIN_RECONNECT_S = 0.05  # pause before a reconnect; doubled after each connection that brought no event
+MAX_RECONNECT_S = 1.0
+MAX_LINE_BYTES = 4 << 20
+# When no data follows some events for that long, all past events have arrived. The bare number that follows them may take a second more.
+SETTLE_S = 0.04
+CATCH_UP_LIMIT_S = 0.25  # `wait_until_caught_up` waits no longer than that
+CATCH_UP_POLL_S = 0.0005  # pause between its checks
 
 
 @record(frozen=True)
 class ListedServer:
+    """One server of the list. `started` is its start in Unix time (ns), 0 if it has been there from the first."""
+
     name: str
     address: tuple[str, int]
     zone: str
@@ -36,18 +41,22 @@
 
 @record(frozen=True)
 class ListChange:
+    """The whole server list if `complete`, otherwise the servers that have changed."""
+
     complete: bool
     servers: tuple[ListedServer, ...]
 
 
 @record(frozen=True)
 class Purge:
+    """A purge of one object, or of a group if `obj` is None; `at` is its Unix time (ns)."""
+
     obj: str | None
     group: int
     at: int
 
 
-def listed(row: Section) -> ListedServer:
+def parse_server(row: Section) -> ListedServer:
     state = row.choice("status", STATES, "up")
     gone = state == "gone"
     return ListedServer(
@@ -62,42 +71,45 @@
     )
 
 
-class Gap(Exception):
-    """Events are missing before this one."""
+class EventGap(Exception):
+    """Events are missing between the last one and the received number."""
 
 
 class DiscoveryClient:
-    """Reads the board and hands each event on once, in order."""
-
-    def __init__(self, where: tuple[str, int], route, seed: int):
-        self.server_address, self.subscriber, self.random = where, route, random.Random(seed)
-        self.known: list = []  # events that a new configuration brought
-        self.address_changed = threading.Event()  # set while a move waits to be seen
-        self.caught_up = threading.Event()  # set once what the board held has come, and nothing of it is missing
-        self.sock: socket.socket | None = None  # the present connection
-        self.read_lock = threading.Lock()  # held from a read until all it brought is told
-        self.thread = 0  # that reads
-        self.last_line_at = time.monotonic()  # when a whole line last came
-        self.longest_wait = 0.0  # the longest that a write waited for its word since the last look
-        self.excused_line_at = 0.0  # that `heard` after which somebody waited in vain
-        self.last_number = 0
-        self.list_changes = self.purges = 0  # told so far
-        self.rows: dict[str, dict] = {}  # the list as told, for a change may hold only what has changed
-
-    def event(self, value: Section) -> ListChange | Purge | None:
-        """What an event tells; None where it is of a kind not known here."""
+    """Receives the events of the discovery service and passes each to `subscriber` once, in order.
+
+    The subscriber (a RouterHost or a ServerListOverlay) has `list_received` and `purge_received`; calls of them come between
+    `start_batch` and `finish_batch`."""
+
+    def __init__(self, server_address: tuple[str, int], subscriber, seed: int):
+        self.server_address, self.subscriber, self.random = server_address, subscriber, random.Random(seed)
+        self.known: list = []  # events from a new configuration, not handled yet
+        self.address_changed = threading.Event()  # set until `run` has noticed the change
+        self.caught_up = threading.Event()  # set once all past events have arrived without a gap
+        self.sock: socket.socket | None = None  # the current connection
+        self.read_lock = threading.Lock()  # held from a read until its events are passed to the subscriber
+        self.thread = 0  # ident of the thread that reads
+        self.last_line_at = time.monotonic()  # when the last whole line arrived
+        self.longest_wait = 0.0  # the longest wait in `wait_until_caught_up`, in seconds; the reader of this counter resets it
+        self.excused_line_at = 0.0  # the `last_line_at` at which a wait timed out; until the next line nobody waits again
+        self.last_number = 0  # number of the last event
+        self.list_changes = self.purges = 0  # events passed on so far
+        self.rows: dict[str, dict] = {}  # the list as received, by server name; a change may contain only the changed fields
+
+    def parse_event(self, value: Section) -> ListChange | Purge | None:
+        """Parses an event; returns None for an unknown kind of event."""
         if "pool" in value.value:
             pool = value.section("pool")
             complete, changed = bool(pool.value.get("snapshot")), []
             for row in pool.sections("endpoints"):
                 try:
                     old = {} if complete else self.rows.get(row.text("name"), {})
-                    changed.append(listed(Section(old | row.value, row.path)))
+                    changed.append(parse_server(Section(old | row.value, row.path)))
                     self.rows[row.text("name")] = old | row.value
                     if changed[-1].state == "gone":
                         del self.rows[row.text("name")]
-                except ConfigError as bad:  # one row that can't be used does not hold up the others
-                    log.error("unusable", extra={"kv": {"why": str(bad)}})
+                except ConfigError as error:  # an unusable row does not affect the others
+                    log.error("unusable", extra={"kv": {"why": str(error)}})
             return ListChange(complete, tuple(changed))
         if "flush" in value.value:
             flush = value.section("flush")
@@ -105,39 +117,42 @@
             return Purge(obj, flush.integer("collection", -1, minimum=-1), flush.integer("ms") * MS)
         return None
 
-    def tell(self, told: ListChange | Purge | None, now: bool = False) -> None:
-        if isinstance(told, ListChange):
+    def deliver(self, event: ListChange | Purge | None, at_start: bool = False) -> None:
+        """Logs, counts and passes an event to the subscriber. `at_start`: before any thread runs."""
+        if isinstance(event, ListChange):
             self.list_changes += 1
-            states = [row.state for row in told.servers]
+            states = [row.state for row in event.servers]
             log.info(
                 "list",
                 extra={
                     "kv": {
                         "rev": self.last_number,
-                        "complete": int(told.complete),
+                        "complete": int(event.complete),
                         **{state: states.count(state) for state in STATES.values()},
                     }
                 },
             )
-            self.subscriber.list_received(told, now)
-        elif told is not None:
+            self.subscriber.list_received(event, at_start)
+        elif event is not None:
             self.purges += 1
-            self.subscriber.purge_received(told, now)
+            self.subscriber.purge_received(event, at_start)
 
     def may_be_behind(self) -> bool:
-        """The board's word lies unread, or none came for so long that events may have passed this router by."""
+        """Returns whether data lies unread in the socket, or no line came for so long that events may have been missed."""
         if time.monotonic() - self.last_line_at > SILENCE_LIMIT_S and self.excused_line_at != self.last_line_at:
             return True
         sock, poll = self.sock, select.poll()
         if sock is None or sock.fileno() < 0:
             return False
         poll.register(sock, select.POLLIN)
-        return any(event & select.POLLIN for _, event in poll.poll(0))  # not of a connection that does not stand
+        return any(event & select.POLLIN for _, event in poll.poll(0))  # a socket that is not connected does not count
 
     def wait_until_caught_up(self) -> None:
-        """Waits, a moment at most, until what the board has sent is told. Guards against a hop written on an old list
-        by a process that was stopped, or whose other threads had the core, between the board's word and the write. A
-        board that says nothing for longer is not waited for again until it is heard: the router goes on as it is."""
+        """Waits, for a moment at most, until everything that the service has sent is passed on.
+
+        This guards against writing a hop by an outdated list when the process was stopped, or its other threads had the CPU, between
+        the arrival of a list change and the write. If the service stays silent for longer, nobody waits again until its next line:
+        the router continues with the list that it has."""
         if threading.get_ident() == self.thread:
             return
         began = time.monotonic()
@@ -150,80 +165,85 @@
             if time.monotonic() - began > CATCH_UP_LIMIT_S:
                 self.excused_line_at = self.last_line_at
                 return
-            time.sleep(LOOK_PAUSE)
+            time.sleep(CATCH_UP_POLL_S)
 
-    def apply_initial_events(self, known: list, last: int) -> None:
-        """Apply the events of the start, before any thread runs."""
-        for n, value in enumerate(known):
-            self.tell(self.event(Section(value, f"known.notices[{n}]")), now=True)
-        self.last_number = last
+    def apply_initial_events(self, known: list, last_number: int) -> None:
+        """Applies the events from the configuration, before any thread runs."""
+        for index, value in enumerate(known):
+            self.deliver(self.parse_event(Section(value, f"known.notices[{index}]")), at_start=True)
+        self.last_number = last_number
 
     def handle_line(self, data: bytes) -> None:
+        """Handles a line: an event, or the bare number of the last event. Raises EventGap if events are missing before it."""
         value = json.loads(data)
         number = value.get("rev") if isinstance(value, dict) else value
         if not isinstance(number, int):
             raise ConfigError("rev: missing")
         bare = not isinstance(value, dict) or len(value) == 1
         if number > self.last_number + (not bare):
-            raise Gap(f"{self.last_number} is followed by {number}")
+            raise EventGap(f"{self.last_number} is followed by {number}")
         if not bare and number == self.last_number + 1:
-            self.take(value)
+            self.handle_event(value)
         elif bare and number <= self.last_number:
             self.caught_up.set()
 
-    def take(self, value: dict) -> None:
-        self.last_number = value["rev"]  # whatever it holds, it is not asked for again
-        self.tell(self.event(Section(value, "event")))
+    def handle_event(self, value: dict) -> None:
+        self.last_number = value["rev"]  # set first, so that an event with unusable content is not requested again
+        self.deliver(self.parse_event(Section(value, "event")))
 
-    def change_address(self, where: tuple[str, int], known: list) -> None:
-        """A new configuration: watch there from now on. Called by another thread, at any moment."""
-        self.server_address, self.known = where, known
+    def change_address(self, server_address: tuple[str, int], known: list) -> None:
+        """Switches to another address after a new configuration, with that configuration's events. Any thread may call it at any time."""
+        self.server_address, self.known = server_address, known
         self.address_changed.set()
         sock = self.sock
         try:
             if sock is not None:
                 sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # not connected: `watch` looks at `moved` once it is
+            pass  # not connected yet: `read_events` checks `address_changed` after its connect
 
     def run(self) -> None:
+        """The thread that reads: connects again and again, with a pause after each connection that ended."""
         self.thread = threading.get_ident()
-        wait = WAIT_FIRST
+        wait = MIN_RECONNECT_S
         while True:
             before = self.last_number
             if self.address_changed.is_set():
                 self.address_changed.clear()
-                wait = WAIT_FIRST
+                wait = MIN_RECONNECT_S
             try:
                 for value in self.known:
                     if isinstance(value, dict) and value.get("rev") == self.last_number + 1:
-                        self.take(value)
+                        self.handle_event(value)
                 self.watch()
-                why = "moved" if self.address_changed.is_set() else "closed"
-            except (OSError, ValueError, RecursionError, ConfigError, Gap) as wrong:
-                why = str(wrong) or type(wrong).__name__
-            wait = WAIT_FIRST if self.last_number > before else min(WAIT_MOST, 2 * wait)
-            self.log_lost(why)
+                reason = "moved" if self.address_changed.is_set() else "closed"
+            except (OSError, ValueError, RecursionError, ConfigError, EventGap) as error:
+                reason = str(error) or type(error).__name__
+            wait = MIN_RECONNECT_S if self.last_number > before else min(MAX_RECONNECT_S, 2 * wait)
+            self.log_lost(reason)
             self.address_changed.wait(wait * self.random.uniform(0.5, 1.0))
 
-    def log_lost(self, why: str) -> None:
-        log.warning("lost", extra={"kv": {"why": why, "last": self.last_number}})
+    def log_lost(self, reason: str) -> None:
+        """Logs the end of a connection."""
+        log.warning("lost", extra={"kv": {"why": reason, "last": self.last_number}})
 
     def watch(self) -> None:
+        """Reads events over one connection until it ends."""
         try:
-            self.listen()
+            self.open_and_read()
         finally:
-            self.subscriber.finish_batch()  # what was told and is not yet handled
+            self.subscriber.finish_batch()  # handles what was passed on before the end
 
-    def listen(self) -> None:
+    def open_and_read(self) -> None:
         sock = socket.socket()
         try:
-            self.listen_to(sock)
+            self.read_events(sock)
         finally:
-            with self.read_lock:  # else who looks at it meets a descriptor that is closed meanwhile
+            with self.read_lock:  # otherwise `may_be_behind` in another thread could poll a closed descriptor
                 sock.close()
 
-    def listen_to(self, sock: socket.socket) -> None:
+    def read_events(self, sock: socket.socket) -> None:
+        """Connects, and reads lines until the service closes the connection. Raises TimeoutError if the service falls silent."""
         self.sock = sock
         sock.settimeout(SILENCE_LIMIT_S / 2)
         sock.connect(self.server_address)
@@ -232,27 +252,28 @@
         sock.sendall(b"watch %d\n" % self.last_number)
         poll = select.poll()
         poll.register(sock, select.POLLIN)
-        held, heard = b"", time.monotonic()
-        while True:  # what lies there is read first, however long this process was stopped
-            left = max(0.0, heard + SILENCE_LIMIT_S - time.monotonic())
-            settles = self.last_line_at == heard and not held and not self.caught_up.is_set()
-            if poll.poll((min(left, SETTLE) if settles else left) * 1000):
-                # All that lies there is told before this thread takes a turn in the Router and writes by half of it.
+        partial_line, line_at = b"", time.monotonic()
+        while True:  # data that has arrived is read before the silence is checked, however long this process was stopped
+            time_left = max(0.0, line_at + SILENCE_LIMIT_S - time.monotonic())
+            settling = self.last_line_at == line_at and not partial_line and not self.caught_up.is_set()
+            if poll.poll((min(time_left, SETTLE_S) if settling else time_left) * 1000):
+                # All arrived events are passed on before this thread runs the Router: otherwise it could write hops that take
+                # account of the first of these events only.
                 self.subscriber.start_batch()
                 with self.read_lock:
                     data = sock.recv(65_536)
                     if not data:
                         return
-                    *lines, held = (held + data).split(b"\n")
-                    if len(held) > MOST_LINE:
+                    *lines, partial_line = (partial_line + data).split(b"\n")
+                    if len(partial_line) > MAX_LINE_BYTES:
                         raise ValueError("a line too long")
                     for line in lines:
                         if line.strip():
                             self.handle_line(line)
-                            self.last_line_at = heard = time.monotonic()
+                            self.last_line_at = line_at = time.monotonic()
                 if not poll.poll(0):
                     self.subscriber.finish_batch()
-            elif settles:
+            elif settling:
                 self.caught_up.set()
-            if time.monotonic() - heard >= SILENCE_LIMIT_S:
+            if time.monotonic() - line_at >= SILENCE_LIMIT_S:
                 raise TimeoutError("no whole line")
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a cache server: hops and probes are written, answers read, whatever the server does meanwhile."""
+"""One connection to a cache server: writes hops and probes, reads replies, and copes with whatever the server does meanwhile."""
 
 from __future__ import annotations
 
@@ -19,23 +19,25 @@
 from fieldspur.record import record
 from fieldspur.site import MS, US
 
-TYPE_CHECKING = False  # as typing has it, which a start does not load
+TYPE_CHECKING = False  # defined here as in `typing`, which is not loaded at a start
 if TYPE_CHECKING:
     from fieldspur.net.connection_pool import ConnectionPool
 
 log = logging.getLogger("fieldspur.send")
-MOST_AT_ONCE, JOIN = 16, 4096  # messages in one write; longer buffers are not joined with others
-STRUCT_TIME = struct.Struct("@ll")  # what the system takes as a time: seconds, microseconds
-MOST_USED = 512  # names remembered of what a connection carried and gave up
-DIAL_PAUSE = 0.02  # seconds between two tries of a dial that fails on this machine
-LOOK_ROOM = 200  # ms after which a wait for room in a socket looks whether the connection has ended
-UNSENT = 16_384  # bytes that the system may hold and not yet have sent when it takes more: what waits can be taken back
-DISCOVERY_CHECK_INTERVAL = 50 * MS  # so old may the last look be at whether discovery's word lies unread, when attempts are written
-ANY = 1 << 30  # the same for what has begun
+MAX_MESSAGES_PER_WRITE = 16
+MAX_JOINED_BYTES = 4096  # a write with a longer buffer is not joined into one buffer
+TIMEVAL = struct.Struct("@ll")  # the system's format of a timeout: seconds, microseconds
+MAX_USED_NAMES = 512  # used names in one generation; two generations are remembered for each connection
+DIAL_PAUSE_S = 0.02  # pause between two tries of a dial that fails on this machine
+WRITABLE_POLL_MS = 200  # how often a wait for a writable socket checks whether the connection has ended
+# Unsent bytes that the system may hold while it still accepts more. Everything else waits in the router, where it can be taken back.
+UNSENT_LIMIT = 16_384
+NO_UNSENT_LIMIT = 1 << 30  # used for a message that has begun: it has to go out whole
+DISCOVERY_CHECK_INTERVAL = 50 * MS  # before a write, the last check for unread discovery events may be that old
 
 
 class ConnectionEnd(str, Enum):
-    """Why a connection to a server ended, or did not come up; for the counts."""
+    """Why a connection to a server ended or could not be established, for the counts."""
 
     REFUSED = "refused"
     RESET = "reset"
@@ -47,7 +49,7 @@
 
 
 def end_of(error: OSError) -> ConnectionEnd:
-    """The end that an error of the system stands for."""
+    """Returns the ConnectionEnd for an error of the system."""
     if isinstance(error, ConnectionRefusedError):
         return ConnectionEnd.REFUSED
     if isinstance(error, (ConnectionResetError, BrokenPipeError)):
@@ -57,59 +59,60 @@
 
 @record(eq=False)
 class Hop:
-    """One request on its way to a server: a txn's hop, or a probe (no `want`)."""
+    """One request to a server: a txn's hop, or a probe (`want` is None). Times are ns of the program's clock."""
 
-    ident: int
-    number: int
-    name: str  # under which the server answers it
+    ident: int  # number of the txn
+    number: int  # number of the hop within its txn
+    name: str  # names the hop in the server's reply
     server: str
     source: str | None
     want: resp.Want | None
     decided_at: int
-    cut_at: int = 0
-    group: int = -1  # of the object, for purges
-    purges: int = 0  # how many purges were known when it was decided
-    go_by: int = NEVER  # when it has to have gone out
-    server_start: int = 0  # start of the server's process that it was decided for, as discovery told it; the same of the source's
-    source_start: int = 0
-    address: tuple[str, int] | None = None  # that its connection leads to
+    cut_at: int = 0  # when the router stops waiting for a reply
+    group: int = -1  # group of the object, for purges
+    purges: int = 0  # number of purges that the Router knew at the decision
+    go_by: int = NEVER  # the hop may not be written after this time
+    server_start: int = 0  # start of the server's process for which the hop was decided, as discovery reported it
+    source_start: int = 0  # the same for the source
+    address: tuple[str, int] | None = None  # where its connection leads
     connection: ServerConnection | None = None
-    written_at: int = 0  # when it went out, 0 before
-    ended: bool = False
-    reader_wait_began: int = 0  # since when for its client's reader, the last time
-    reader_wait_bytes: int = 0  # ... until that has worked off so many bytes of all that the client sent
+    written_at: int = 0  # 0 while it is not written
+    ended: bool = False  # its end is claimed by a thread, which reports it
+    reader_wait_began: int = 0  # when it last began to wait for its client's reader
+    reader_wait_bytes: int = 0  # it waits until the reader has processed that many bytes of everything the client sent
 
 
-def limit_unsent(sock: socket.socket, unsent: int = UNSENT) -> None:
-    """What the other side has no room for waits in the router, where it can still be taken back, not in the system."""
+def limit_unsent(sock: socket.socket, unsent: int = UNSENT_LIMIT) -> None:
+    """Limits how much unsent data the system accepts, so that the rest waits in the router, where it can still be taken back."""
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, unsent)
     except (OSError, AttributeError):
-        pass  # not of this system; then up to a socket's buffer goes out by what was right when it was written
+        pass  # this system has no such option: up to a socket buffer of messages can't be taken back once written
 
 
 class ServerConnection:
-    """One connection to a server. Its own thread connects and reads. What goes out is written at once, without waiting,
-    by the thread that has it; only what the socket does not take is left to a thread made for that."""
+    """One connection to a server. Its own thread connects and reads. Any thread writes what it has at once, without waiting; only when the
+    socket does not accept everything, a further thread is started for the rest."""
 
     def __init__(self, pool: ConnectionPool, server: str, address: tuple[str, int], patient: bool = False):
-        """Raises OSError where the system gives no socket now, unless `patient`: then that is tried again while it dials."""
+        """Raises OSError if the system has no socket to give; with `patient` the dial tries again instead."""
         self.pool, self.server, self.address = pool, server, address
-        self.queue: deque = deque()  # hops to be written; bounded by the hops open here
-        self.cancels: deque = deque()  # hops given up, of which the server is to be told first
-        self.cancels_in_write: list[Hop] = []  # those of which a word has begun, and the rest is in `left`
-        self.unwritten: list = []  # of what has begun and the socket did not take; nothing else is written before
-        self.partial_hop: Hop | None = None  # the hop that `left` belongs to
-        self.open_hops: dict[str, Hop] = {}
-        self.used: dict[str, int] = {}  # names that must not be used again, for a further answer may come: of
-        # one given up on by nobody, of one answered by no other txn
-        self.older: dict[str, int] = {}  # those used before, forgotten together
-        self.last_received_at, self.closed, self.retired = 0, False, False
-        self.connected = False  # connected
+        self.queue: deque = deque()  # hops to be written; never more than the open hops
+        self.cancels: deque = deque()  # cancelled hops of which the server is not told yet; written before other hops
+        self.cancels_in_write: list[Hop] = []  # those whose cancel messages are being written
+        self.unwritten: list = []  # rest of a started write that the socket did not accept; it goes out before anything else
+        self.partial_hop: Hop | None = None  # the hop that `unwritten` belongs to
+        self.open_hops: dict[str, Hop] = {}  # by name
+        # Names that another hop must not use, because a further reply to them may come, with the txn that still may: the txn whose
+        # hop was answered, or -1 (no txn) after a cancel.
+        self.used_names: dict[str, int] = {}
+        self.older_used_names: dict[str, int] = {}  # the generation before, which is forgotten as a whole
+        self.last_received_at, self.closed, self.retired = 0, False, False  # retired: takes no further hops
+        self.connected = False
         self.lock = threading.Lock()
-        self.write_lock = threading.Lock()  # held by whoever writes; nobody waits for it
-        self.draining = False  # a thread waits for the socket to take what is left of a write
-        self.past = False  # a large write was handed over whole, past the mark: see whether there is room again
+        self.write_lock = threading.Lock()  # held by the writing thread; no other thread waits for it
+        self.rest_writer_active = False  # a thread waits until the socket accepts the rest of a write
+        self.over_mark = False  # a message was written beyond UNSENT_LIMIT: check that the socket is writable before the next one
         self.sock: socket.socket | None = None
         try:
             self.sock = socket.socket()
@@ -124,21 +127,23 @@
             raise
 
     def accepts(self, hop: Hop) -> bool:
+        """Returns whether the hop may be queued on this connection."""
         return not (
             self.closed
             or self.retired
             or hop.name in self.open_hops
-            or (self.used.get(hop.name) or self.older.get(hop.name, hop.ident)) != hop.ident
+            or (self.used_names.get(hop.name) or self.older_used_names.get(hop.name, hop.ident)) != hop.ident
             or len(self.open_hops) >= self.pool.site.max_hops_per_connection
         )
 
-    def use_up(self, hop: Hop, by: int) -> None:
-        self.used[hop.name] = by
-        if len(self.used) > MOST_USED:
-            self.older, self.used = self.used, {}
+    def mark_name_used(self, hop: Hop, ident: int) -> None:
+        """From now on only the txn `ident` may use the hop's name."""
+        self.used_names[hop.name] = ident
+        if len(self.used_names) > MAX_USED_NAMES:
+            self.older_used_names, self.used_names = self.used_names, {}
 
     def enqueue(self, hop: Hop, sure: bool = True) -> bool:
-        """The hop waits here for the next `pump`; false where the connection is ending, or, not `sure`, can't take it."""
+        """Queues the hop for the next `write_queued`. Returns False if the connection is ending or, unless `sure`, can't accept the hop."""
         with self.lock:
             if self.closed or not sure and not self.accepts(hop):
                 return False
@@ -148,28 +153,29 @@
             return True
 
     def requeue(self, hop: Hop) -> None:
-        """A hop that was put by, for its client's reader or for word of the one before, goes on."""
+        """Queues a hop again that had to wait for its client's reader or for the cancel of the txn's hop before it."""
         self.queue.append(hop)
         self.write_queued()
 
     def remove_hop(self, hop: Hop, now: int) -> None:
-        """A hop was given up; a connection on which nothing came since it was written is not used again."""
+        """Removes a cancelled hop. If nothing was received since the hop was written, for as long as a connect may take, the connection
+        is not used again."""
         with self.lock:
             self.open_hops.pop(hop.name, None)
             if not hop.written_at or self.closed:
                 return
-            self.use_up(hop, -1)
+            self.mark_name_used(hop, -1)
             if self.last_received_at < hop.written_at and now - hop.written_at > self.pool.site.connect_timeout:
                 self.retired = True
             if hop.want is not None:
-                with self.pool.lock:  # taken inside a connection's lock, never round it
+                with self.pool.lock:  # lock order: a connection's lock first, then the pool's
                     self.pool.undelivered_cancels[hop.ident] = hop
                 self.cancels.append(hop)
             if self.retired and not self.open_hops:
-                self.shut_down()  # its thread may wait for ever, a writer be held up
+                self.shut_down()  # otherwise its reader or a writer could wait forever
 
     def refuse_stale_hops(self) -> None:
-        """Hops that wait here and may not go out any more are taken back at once: they never ran."""
+        """Refuses queued hops that may not be written any more, at once: they never ran."""
         for hop in list(self.queue):
             refusal = self.pool.rules.refusal(hop, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
             if refusal is None:
@@ -177,206 +183,210 @@
             try:
                 self.queue.remove(hop)
             except ValueError:
-                continue  # a writer has it, and looks by itself
+                continue  # a writer has taken it, and checks it itself
             self.pool.refuse(hop, refusal)
 
     def write_queued(self) -> None:
-        """Write what waits here. Whoever finds another at it leaves: that one looks again before it goes."""
-        while self.connected and not self.unwritten and (self.cancels or self.queue and not self.draining):
+        """Writes what is queued. Returns at once if another thread is writing: that thread checks the queue again before it returns."""
+        while self.connected and not self.unwritten and (self.cancels or self.queue and not self.rest_writer_active):
             if not self.write_lock.acquire(False):
                 return
             try:
                 full = False
                 if self.unwritten:
-                    continue  # begun by another since the look
+                    continue  # another thread has started a write since the check above
                 if self.cancels:
-                    full = self.say()
-                elif not self.draining:
+                    full = self.write_cancels()
+                elif not self.rest_writer_active:
                     self.unwritten, self.partial_hop, full = self.write_batch()
-                if full and not self.draining:
-                    self.draining = True
+                if full and not self.rest_writer_active:
+                    self.rest_writer_active = True
                     threading.Thread(target=self.write_rest, name="lane-rest", daemon=True).start()
-            except (OSError, RuntimeError, ValueError):  # broken, closed, or the system gives no further thread
+            except (OSError, RuntimeError, ValueError):  # broken, closed, or no further thread available
                 self.shut_down()
                 return
-            except Exception:  # it costs this connection, whose own thread ends what is open on it
+            except Exception:  # costs this connection, whose own thread ends its open hops
                 contained_errors.record("write", server=self.server)
                 self.shut_down()
                 return
             finally:
                 self.write_lock.release()
 
-    def say(self) -> bool:
-        """Tells the server what was given up; whether something is left. Guards against a server that reads on after it took nothing
-        for a while, finds a hop that was given up, and its end behind what waits for room here, while the next attempt is out
-        elsewhere: past the mark the words lie right behind that hop."""
+    def write_cancels(self) -> bool:
+        """Tells the server which hops are cancelled; returns whether a part of that is still unwritten.
+
+        The cancels are written beyond UNSENT_LIMIT, right behind the cancelled hop. This guards against a server that reads nothing for
+        a while, then finds the cancelled hop first and its cancel only behind what waits in the router, while the txn's next hop is
+        already out at another server."""
         while self.cancels:
             self.cancels_in_write.append(self.cancels.popleft())
-        data = b"".join([resp.encode_never_mind(hop.name) for hop in self.cancels_in_write if hop.written_at])  # others never went out
-        left = write_nonblocking(self.sock, (data,)) if data else ()
-        if left:
-            self.past = True
-            limit_unsent(self.sock, ANY)
-            left = write_nonblocking(self.sock, left)
+        # Hops that were not written need no cancel.
+        data = b"".join([resp.encode_never_mind(hop.name) for hop in self.cancels_in_write if hop.written_at])
+        unwritten = write_nonblocking(self.sock, (data,)) if data else ()
+        if unwritten:
+            self.over_mark = True
+            limit_unsent(self.sock, NO_UNSENT_LIMIT)
+            unwritten = write_nonblocking(self.sock, unwritten)
             limit_unsent(self.sock)
-        self.unwritten = left
-        if not left:
-            self.told()
-        return bool(left)
+        self.unwritten = unwritten
+        if not unwritten:
+            self.report_cancels_delivered()
+        return bool(unwritten)
 
-    def told(self) -> None:
+    def report_cancels_delivered(self) -> None:
         hops, self.cancels_in_write = self.cancels_in_write, []
         for hop in hops:
             self.pool.cancel_delivered(hop)
 
     def write_batch(self) -> tuple[list, Hop | None, bool]:
-        """One write of what waits: what is left of a message that was cut, its hop, and whether the socket is full.
-        Messages of which no byte went out wait here again, and are looked at again before they go."""
-        if self.past:  # else the system would add small ones to the last of its pieces
-            if not self.poll().poll(0):
+        """Writes queued messages in one write. Returns the rest of a message that was partly written, its hop, and whether the socket is
+        full. Messages of which no byte was written are queued again, and checked again before the next write."""
+        if self.over_mark:  # otherwise the system would append small messages to the last segment of the large one
+            if not self.writable_poll().poll(0):
                 return [], None, True
-            self.past = False
+            self.over_mark = False
         if time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.pool.discovery_checked_at > DISCOVERY_CHECK_INTERVAL:
-            self.pool.wait_for_discovery()  # before any is looked at: nothing may wait between the look at one and its write
-        try:  # as `next_attempt`, without a call in the ordinary case
+            self.pool.wait_for_discovery()  # before the first check of a hop: nothing may wait between the check of a hop and its write
+        try:  # same as `pop_queued`, inlined to save a call in the ordinary case
             hop = self.queue.popleft()
         except IndexError:
             return (), None, False
-        if hop.want is not None and not self.queue:  # the ordinary case of what follows
+        if hop.want is not None and not self.queue:  # the ordinary case: a single hop; the code below handles all cases
             if not self.pool.start_attempt(hop):
                 return (), None, False
             data = resp.encode_want(hop.want)
             try:
-                left = write_nonblocking(self.sock, data)
+                unwritten = write_nonblocking(self.sock, data)
             except OSError:
                 hop.written_at = 0
                 raise
-            return self.put_back([(hop, data)], left) if left else ((), None, False)
+            return self.requeue_unstarted([(hop, data)], unwritten) if unwritten else ((), None, False)
         messages = []
         while hop is not None:
             if self.pool.start_attempt(hop):
                 messages.append((hop, resp.encode_want(hop.want) if hop.want else (resp.encode_probe(hop.name),)))
-            hop = self.next_attempt() if len(messages) < MOST_AT_ONCE else None
+            hop = self.pop_queued() if len(messages) < MAX_MESSAGES_PER_WRITE else None
         if not messages:
             return (), None, False
-        data = [piece for _, pieces in messages for piece in pieces]
+        data = [buffer for _, buffers in messages for buffer in buffers]
         try:
-            if not any(len(piece) > JOIN for piece in data):
+            if not any(len(buffer) > MAX_JOINED_BYTES for buffer in data):
                 data = (b"".join(data),)
-            left = write_nonblocking(self.sock, data)
+            unwritten = write_nonblocking(self.sock, data)
         except OSError:
             for hop, _ in messages:
-                hop.written_at = 0  # nothing of this write went out: it never ran
+                hop.written_at = 0  # nothing of this write went out: the hop never ran
             raise
-        return self.put_back(messages, left) if left else ((), None, False)
+        return self.requeue_unstarted(messages, unwritten) if unwritten else ((), None, False)
 
-    def next_attempt(self) -> Hop | None:
-        """Takes the next one that waits, if any: `sift` may take out any of them at any moment, by another thread."""
+    def pop_queued(self) -> Hop | None:
+        """Takes the next queued hop, if any: another thread may empty the queue at any moment (`refuse_stale_hops`)."""
         try:
             return self.queue.popleft()
         except IndexError:
             return None
 
-    def put_back(self, messages: list, left: list) -> tuple[list, Hop | None, bool]:
-        """Guards against a hop whose first byte goes out long after it was looked at: a server that does not read, a
-        full socket. So much is left of these messages; all that have not begun wait again, in their order."""
-        size = sum(map(len, left))
+    def requeue_unstarted(self, messages: list, unwritten: list) -> tuple[list, Hop | None, bool]:
+        """Queues those of `messages` again, in their order, of which no byte was written; `unwritten` is the rest of their write. This
+        guards against a hop whose first byte goes out long after it was checked, behind a full socket of a server that does not read."""
+        size = sum(map(len, unwritten))
         while messages:
-            hop, pieces = messages.pop()
-            mine = sum(map(len, pieces))
-            if size < mine:
-                return self.rest([b"".join(pieces)[mine - size :]] if size else [], hop)
+            hop, buffers = messages.pop()
+            message_size = sum(map(len, buffers))
+            if size < message_size:
+                return self.finish_started([b"".join(buffers)[message_size - size :]] if size else [], hop)
             hop.written_at = 0
             self.queue.appendleft(hop)
-            size -= mine
+            size -= message_size
         return [], None, True
 
-    def rest(self, left: list, cut: Hop | None) -> tuple[list, Hop | None, bool]:
-        """What has begun goes out whole, past the mark; only what has not begun is better kept here. Guards against a
-        large write that goes out in pieces of `UNSENT`, each with its own waking: 0.54 of a core where 0.34 will do."""
-        if left:
-            self.past = True
+    def finish_started(self, unwritten: list, partial_hop: Hop | None) -> tuple[list, Hop | None, bool]:
+        """Writes the rest of a started message beyond UNSENT_LIMIT; only messages that have not started are better kept in the router.
+        Returns the same as `write_batch`. This guards against a large write that goes out in pieces of UNSENT_LIMIT, each of which
+        wakes a thread: that took 0.54 of a core where 0.34 is enough."""
+        if unwritten:
+            self.over_mark = True
             try:
-                limit_unsent(self.sock, ANY)
-                left = write_nonblocking(self.sock, left)
+                limit_unsent(self.sock, NO_UNSENT_LIMIT)
+                unwritten = write_nonblocking(self.sock, unwritten)
                 limit_unsent(self.sock)
             except OSError:
-                if cut is not None:
-                    cut.written_at = 0  # not whole: it never ran
+                if partial_hop is not None:
+                    partial_hop.written_at = 0  # it did not go out whole: it never ran
                 raise
-        if left:
-            return left, cut, True
+        if unwritten:
+            return unwritten, partial_hop, True
         return [], None, bool(self.queue)
 
-    def poll(self) -> select.poll:
+    def writable_poll(self) -> select.poll:
         poll = select.poll()
         poll.register(self.sock, select.POLLOUT)
         return poll
 
-    def room(self) -> bool:
-        """Waits until the socket takes more; false where the connection has ended."""
-        poll = self.poll()
-        while not poll.poll(LOOK_ROOM):
+    def wait_writable(self) -> bool:
+        """Waits until the socket accepts more data; returns False if the connection has ended."""
+        poll = self.writable_poll()
+        while not poll.poll(WRITABLE_POLL_MS):
             if self.closed:
                 return False
         return not self.closed
 
     def write_rest(self) -> None:
-        """Guards against a server that reads slowly: this thread waits for it, and nobody else does."""
+        """A thread that writes what the socket did not accept at once, so that no other thread has to wait for a slow server."""
         try:
             while True:
                 if self.unwritten:
-                    cut = self.partial_hop
-                    limit_unsent(self.sock, ANY)
-                    keyed = cut is not None and cut.number and cut.want is not None and cut.want.key
-                    self.finish(list(self.unwritten), cut.go_by if keyed else NEVER)
+                    hop = self.partial_hop
+                    limit_unsent(self.sock, NO_UNSENT_LIMIT)
+                    is_keyed_repeat = hop is not None and hop.number and hop.want is not None and hop.want.key
+                    self.write_remaining(list(self.unwritten), hop.go_by if is_keyed_repeat else NEVER)
                     limit_unsent(self.sock)
-                    self.told()  # before others may say something
+                    self.report_cancels_delivered()  # before other threads may write cancels
                     self.unwritten, self.partial_hop = [], None
-                    self.write_queued()  # words that came meanwhile
-                if not self.room():
+                    self.write_queued()  # cancels that were added meanwhile
+                if not self.wait_writable():
                     raise OSError("ended")
                 with self.write_lock:
                     if self.unwritten:
-                        continue  # of words that others have begun
+                        continue  # another thread has started to write cancels
                     if not self.queue or self.closed:
-                        self.draining = False
+                        self.rest_writer_active = False
                         break
                     self.unwritten, self.partial_hop, _ = self.write_batch()
         except (OSError, ValueError):
-            self.broken_off()
+            self.abort_partial_write()
         except Exception:
             contained_errors.record("write", server=self.server)
-            self.broken_off()
-        self.write_queued()  # what came between the look and the end of `draining`
+            self.abort_partial_write()
+        self.write_queued()  # what was queued before `rest_writer_active` was cleared
 
-    def broken_off(self) -> None:
-        """What was cut off in its middle is not whole at the server: it never ran."""
+    def abort_partial_write(self) -> None:
+        """Ends the connection. A message that was cut off in the middle is incomplete at the server: its hop never ran."""
         if self.partial_hop is not None:
             self.partial_hop.written_at = 0
         self.shut_down()
 
-    def finish(self, left: list, go_by: int) -> None:
-        """The rest of what has begun. Guards against a repeat of which a server takes the end only once it may have forgotten the
-        first try: it is broken off, and is never whole there."""
-        while left:
+    def write_remaining(self, unwritten: list, go_by: int) -> None:
+        """Writes the rest of a started message, by `go_by`, or raises OSError. This guards against a repeat whose end reaches the server
+        only when the server may have forgotten the first attempt: the repeat is cut off and never complete there."""
+        while unwritten:
             if go_by == NEVER:
-                self.sock.sendall(left.pop(0))
+                self.sock.sendall(unwritten.pop(0))
                 continue
-            wait = (go_by - (time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)) // MS
-            if wait <= 0 or not self.poll().poll(wait):
+            wait_ms = (go_by - (time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)) // MS
+            if wait_ms <= 0 or not self.writable_poll().poll(wait_ms):
                 raise OSError("not out in time")
-            left = write_nonblocking(self.sock, left)
+            unwritten = write_nonblocking(self.sock, unwritten)
 
     def peer_closed(self) -> bool:
-        """Guards against a hop written to a server that has closed or reset this connection, idle or not, before its reader has had
-        a turn: of such a hop nobody could tell that it never ran."""
-        found = receive_poll(self.sock).poll(0)
-        self.retired |= bool(found and found[0][1] & PEER_CLOSED)
+        """Returns whether the server has closed or reset this connection, even if the reading thread has not noticed yet. This guards
+        against writing a hop to such a connection: nothing could prove afterwards that the hop never ran."""
+        events = receive_poll(self.sock).poll(0)
+        self.retired |= bool(events and events[0][1] & PEER_CLOSED)
         return self.retired
 
     def run(self) -> None:
-        """The connection's thread. An unforeseen error costs this connection: all that is open on it has its end, by the rules."""
+        """The connection's thread. An unforeseen error costs this connection, and its open hops end in the usual way."""
         try:
             self.connect_and_read()
         except Exception:
@@ -390,32 +400,32 @@
             self.sock.settimeout(None)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, site.idle_timeout // MS)
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, STRUCT_TIME.pack(*divmod(site.connect_timeout // US, 1_000_000)))
+            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, TIMEVAL.pack(*divmod(site.connect_timeout // US, 1_000_000)))
             limit_unsent(self.sock)
-        except OSError as wrong:  # not established
-            return self.end("unreachable" if counts_against_server(wrong.errno) else "unsent", end_of(wrong), wrong.strerror or "timed out")
+        except OSError as error:  # the connection could not be established
+            return self.end("unreachable" if counts_against_server(error.errno) else "unsent", end_of(error), error.strerror or "timed out")
         self.last_received_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         self.connected = True
         self.write_queued()
         self.read_replies()
 
     def dial(self) -> None:
-        """Connects, within the time that a dial may take. What fails on this machine is tried again meanwhile: it says nothing of the
-        server. Raises OSError."""
-        until = time.monotonic() + self.pool.site.connect_timeout / 1e9
+        """Connects within the connect timeout. A failure on this machine says nothing about the server, and is retried within that time.
+        Raises OSError."""
+        deadline = time.monotonic() + self.pool.site.connect_timeout / 1e9
         while True:
             try:
                 if self.sock is None:
                     self.sock = socket.socket()
-                self.sock.settimeout(max(DIAL_PAUSE, until - time.monotonic()))
+                self.sock.settimeout(max(DIAL_PAUSE_S, deadline - time.monotonic()))
                 return self.sock.connect(self.address)
-            except OSError as wrong:
-                if self.closed or not may_redial(wrong.errno, until - time.monotonic() - DIAL_PAUSE):
+            except OSError as error:
+                if self.closed or not may_redial(error.errno, deadline - time.monotonic() - DIAL_PAUSE_S):
                     raise
-            time.sleep(DIAL_PAUSE)
+            time.sleep(DIAL_PAUSE_S)
 
     def close_if_unused(self) -> None:
-        """Ends the connection where nothing is open and it is idle, retired or to a server that is gone."""
+        """Ends the connection if it has no hops and is idle, retired, or leads to a server that is not listed any more."""
         with self.lock:
             self.closed |= (
                 not self.open_hops
@@ -430,7 +440,8 @@
                 self.shut_down()
 
     def receive(self, decoder: resp.Decoder) -> int:
-        """Waits for ever between answers; within one no longer than a connection may take to come up."""
+        """Reads into the decoder's buffer and returns the number of bytes. Between replies it waits without limit; within a reply it raises
+        BadReply after the connect timeout."""
         while True:
             try:
                 return self.sock.recv_into(decoder.buffer.free_space())
@@ -440,24 +451,24 @@
                 self.close_if_unused()
 
     def read_replies(self) -> None:
-        decoder, how, why = resp.Decoder(), ConnectionEnd.CLOSED_BY_SERVER, "closed by the server"
+        decoder, connection_end, reason = resp.Decoder(), ConnectionEnd.CLOSED_BY_SERVER, "closed by the server"
         try:
             while size := self.receive(decoder):
                 self.handle_replies(decoder, size)
                 if self.retired or self.server not in self.pool.endpoints:
                     self.close_if_unused()
-        except OSError as wrong:
-            how, why = end_of(wrong), wrong.strerror or type(wrong).__name__
-        except resp.BadReply as bad:
-            how, why = ConnectionEnd.UNREADABLE, f"unreadable: {bad}"
-            log.error("unreadable", extra={"kv": {"server": self.server, "why": str(bad)}})
+        except OSError as error:
+            connection_end, reason = end_of(error), error.strerror or type(error).__name__
+        except resp.BadReply as error:
+            connection_end, reason = ConnectionEnd.UNREADABLE, f"unreadable: {error}"
+            log.error("unreadable", extra={"kv": {"server": self.server, "why": str(error)}})
         if self.closed:
-            how, why = ConnectionEnd.CLOSED_HERE, "closed here"
-        self.end("unsent", how, why)
+            connection_end, reason = ConnectionEnd.CLOSED_HERE, "closed here"
+        self.end("unsent", connection_end, reason)
 
     def handle_replies(self, decoder: resp.Decoder, size: int) -> None:
-        """All that one read brought. Answers to one client go out in one write, and the Router hears of them together."""
-        pool, window, cork = self.pool, decoder.buffer, []
+        """Handles the replies of one read. Answers to the same client go out in one write, and the Router handles all replies together."""
+        pool, buffer, corked_writers = self.pool, decoder.buffer, []
         self.last_received_at = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         pool.host.start_batch()
         try:
@@ -465,16 +476,16 @@
                 with self.lock:
                     hop = self.open_hops.pop(reply.ident, None)
                     if hop is not None:
-                        self.use_up(hop, hop.ident)
+                        self.mark_name_used(hop, hop.ident)
                 if hop is None:
-                    continue  # given up, and crossed
-                if cork or window.end > window.start:  # else it is the only one
+                    continue  # the hop was cancelled while its reply was on the way
+                if corked_writers or buffer.end > buffer.start:  # otherwise it is the only reply of this read
                     pool.answer_sender.undelivered.add((0, id(self)))
-                    pool.handle_reply(hop, reply, now, cork)
+                    pool.handle_reply(hop, reply, now, corked_writers)
                 else:
                     pool.handle_reply(hop, reply, now)
         finally:
-            for client_writer in cork:
+            for client_writer in corked_writers:
                 client_writer.uncork()
             pool.answer_sender.undelivered.discard((0, id(self)))
             pool.host.finish_batch()
@@ -487,28 +498,29 @@
         except OSError:
             pass
 
-    def end(self, unwritten: str = "unsent", how: ConnectionEnd = ConnectionEnd.OTHER, why: str = "") -> None:
-        """What was not written never ran; only a connection that did not come up speaks against the server."""
-        self.pool.connection_ends.add(how)
+    def end(self, unwritten_result: str = "unsent", connection_end: ConnectionEnd = ConnectionEnd.OTHER, reason: str = "") -> None:
+        """Ends the connection and its open hops. Hops that were not written never ran and end with `unwritten_result`, which speaks
+        against the server only if the connection could not be established."""
+        self.pool.connection_ends.add(connection_end)
         with self.lock:
             self.closed = True
             hops = list(self.open_hops.values())
             self.open_hops.clear()
         self.shut_down()
         self.pool.remove_connection(self)
-        with self.write_lock:  # a write under way uses the descriptor; none waits in there
+        with self.write_lock:  # a write in progress uses the descriptor; it does not wait for anything
             if self.sock is not None:
                 self.sock.close()
             self.cancels_in_write.extend(self.cancels)
             self.cancels.clear()
-        self.told()  # by its end
+        self.report_cancels_delivered()  # the end of the connection tells the server
         log.info(
             "connection",
             extra={
                 "kv": {
                     "server": self.server,
                     "state": "ended",
-                    "why": why,
+                    "why": reason,
                     "open": len(hops),
                     "written": sum(hop.written_at > 0 for hop in hops),
                     "address": "%s:%d" % self.address,
@@ -519,4 +531,4 @@
         if any(hop.written_at for hop in hops):
             self.pool.last_break_at = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         for hop in hops:
-            self.pool.end_hop(hop, "broken" if hop.written_at else unwritten)
+            self.pool.end_hop(hop, "broken" if hop.written_at else unwritten_result)
