--- a/fieldspur/fleet/consensus.py
+++ b/fieldspur/fleet/consensus.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, NamedTuple
 
-Ballot = tuple  # (round, member): the round and the member that requests it; members prefer the greater ballot
+Ballot = tuple  # (round, member): the member that requests it, and in which round; members promise only greater ballots
 Stamp = tuple  # (round, member, number): the ballot and how many values its owner proposed under it before this one
 NO_BALLOT: Ballot = (0, -1)
 NO_STAMP: Stamp = (0, -1, -1)
--- a/fieldspur/fleet/failure_detector.py
+++ b/fieldspur/fleet/failure_detector.py
@@ -13,8 +13,8 @@
 import math
 from collections import deque
 
-MAX_INTERVALS = 64  # stored for each member
-MIN_INTERVALS = 4  # with fewer, the standard deviation is assumed to be half of the mean
+MAX_INTERVALS = 64  # the latest intervals that are stored for each member
+MIN_INTERVALS = 4  # with fewer intervals, the standard deviation is assumed to be half of the mean
 MIN_DEVIATION_SHARE = 0.25  # least standard deviation as a share of the mean, because lines arrive in bursts
 STANDSTILL_FACTOR = 4  # this process was stopped if a poll is late by this many poll intervals
 SUSPECT_PHI = 8.0  # a member is suspected from this phi on: one mistake in 10**8 intervals if they were normally distributed
@@ -29,7 +29,7 @@
 
     def record_line(self, nonce: int, now: int) -> None:
         if nonce == self.nonce:
-            self.intervals.append(max(self.expected_interval, now - self.last_at))  # members send each beat: shorter ones are bursts
+            self.intervals.append(max(self.expected_interval, now - self.last_at))  # a shorter one is a burst
         self.nonce, self.last_at = nonce, now
 
     def phi(self, now: int) -> float:
--- a/fieldspur/fleet/lease.py
+++ b/fieldspur/fleet/lease.py
@@ -35,9 +35,9 @@
             raise ValueError(f"length: {length} ns above 0 and drift: {drift} from 0 to below 0.5 wanted")
         self.member, self.length = member, length
         self.holder_length = int(length * (1 - drift))  # how long the holder relies on its lease
-        self.own_ack, self.no_promise_until = HeartbeatAck(), started_at + length if started_at else 0  # for ballots of other members
+        self.own_ack, self.no_promise_until = HeartbeatAck(), started_at + length if started_at else 0  # of ballots of others
         self.rejoin_at = self.no_promise_until if lost_memory else 0
-        self.published_at: dict[int, int] = {}  # tick: when it was published
+        self.published_at: dict[int, int] = {}  # time of publication by tick
         self.tick, self.ballot = 0, NO_BALLOT
 
     def memory_restored(self) -> None:
@@ -74,7 +74,7 @@
         ticks = sorted(
             (ack.tick for n, ack in enumerate(acks) if n != self.member and ack is not None and ack.ballot == self.ballot), reverse=True
         )
-        needed = majority(len(acks)) - 1  # the member itself is one of the majority
+        needed = majority(len(acks)) - 1  # besides this member itself
         if self.ballot == NO_BALLOT or len(ticks) < needed:
             return 0
         tick = ticks[needed - 1] if needed else self.tick
--- a/fieldspur/fleet/member.py
+++ b/fieldspur/fleet/member.py
@@ -59,7 +59,7 @@
         self.beat, self.random = lease_length // BEATS_PER_LEASE, random.Random(seed)  # beat: ns between two ticks
         self.views: list = [None] * members  # by member: its last register
         self.decoded: list = [(None, None)] * members  # by member: its last register as JSON value and decoded
-        self.acks: list = [None] * members  # by member: the tick that it acknowledged
+        self.acks: list = [None] * members  # by member: the lease tick that it acknowledged last
         self.ticks: list = [(NO_BALLOT, 0)] * members  # by member: the ballot and tick that it published as holder
         self.now = now
         self.lease = Lease(self.own_number, lease_length, started_at=now, lost_memory=lost_memory)
@@ -126,7 +126,7 @@
         """An operator declares that no fleet existed before. Raises ValueError if that is refused."""
         self.register = consensus.found_fleet(self.register, self.all_views())
 
-    # What follows from the input.
+    # Consensus, lease and the role of the coordinator.
 
     def all_views(self) -> list:
         """The last register of each member, with this member's own."""
--- a/tests/test_fleet_lease.py
+++ b/tests/test_fleet_lease.py
@@ -10,7 +10,7 @@
 from fieldspur.fleet.lease import MAX_PENDING_TICKS, HeartbeatAck, Lease
 
 MS = 1_000_000
-LENGTH = 1000 * MS  # of a lease
+LENGTH = 1000 * MS  # of a lease, in ns
 
 
 class SimulatedMember:
@@ -111,7 +111,7 @@
     lease.acknowledge((3, 0), 7, 10)
     assert lease.may_promise((4, 0), 11) and not lease.may_promise((4, 2), 10 + LENGTH - 1)
     assert lease.may_promise((4, 2), 10 + LENGTH)
-    lease.acknowledge((3, 0), 6, 10 + LENGTH)  # older than the tick that it read before
+    lease.acknowledge((3, 0), 6, 10 + LENGTH)  # an older tick, which changes nothing
     assert lease.may_promise((4, 2), 10 + LENGTH)
     assert not Lease(1, LENGTH, started_at=5).may_promise((1, 0), 5 + LENGTH - 1)
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -21,7 +21,7 @@
     fleet.restart(first)
     until(lambda: fleet.published_line(first) and fleet.published_line(first)["register"]["life"] > 1, "a member that counts again")
     assert fleet.published_line(first)["register"]["promised"][1] == second
-    client = fleet.services[first].client()  # it also serves
+    client = fleet.services[first].client()  # the restarted router also answers txns
     client.ask(1)
     assert client.get()[2] == 79
 
