--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -23,8 +23,13 @@
 class Admission:
     """Turns requests into open txns, or answers them at once."""
 
-    def __init__(self, site: Deployment, open_txns: OpenTxns, route, max_body_bytes: int):
-        self.open_txns, self.route, self.max_open_txns, self.max_body_bytes = open_txns, route, site.max_open_txns, max_body_bytes
+    def __init__(self, site: Deployment, open_txns: OpenTxns, router_host, max_body_bytes: int):
+        self.open_txns, self.router_host, self.max_open_txns, self.max_body_bytes = (
+            open_txns,
+            router_host,
+            site.max_open_txns,
+            max_body_bytes,
+        )
         self.retry_after_ms = site.router_options["max_retry_after"] // MS
         self.refusals = ReasonCounter(Refusal)  # requests that were rejected here, by reason
         self.latest_deadline = NEVER  # caps the deadline of every txn; an ending program is killed shortly after it
@@ -69,15 +74,15 @@
             request.body,
             received_at,
             # A Router that lags by `behind` would answer late by as much, so the lag shortens the time limit.
-            min(received_at + time_limit - PROTOCOL_SLACK // 2 - self.route.recent_lag, self.latest_deadline),
+            min(received_at + time_limit - PROTOCOL_SLACK // 2 - self.router_host.recent_lag, self.latest_deadline),
             client_writer,
             request.stream,
         )
         refusal = admission_refusal(
             len(self.open_txns.by_id),
             self.max_open_txns,
-            len(self.route.queue),
-            self.route.max_queued,
+            len(self.router_host.queue),
+            self.router_host.max_queued,
             self.open_txns.body_bytes + len(txn.body),
             self.max_body_bytes,
         )
@@ -87,5 +92,5 @@
             client_writer.answer(request.stream, Answer("rejected", self.retry_after_ms))
             return True
         self.open_txns.add(txn)
-        self.route.post(self.route.txn_arrived, txn)
+        self.router_host.post(self.router_host.txn_arrived, txn)
         return True
--- a/fieldspur/net/arrival_times.py
+++ b/fieldspur/net/arrival_times.py
@@ -44,41 +44,42 @@
         self.thread_id = threading.get_native_id()
         self.read_at = 0  # when the latest read returned
         self.late_since = NEVER  # bytes of this read may have lain in the socket since then; NEVER: they were read at once
-        self.latest = 0  # when the last bytes of this read arrived
-        self.more: object = False  # truthy if further bytes were in the socket after this read
-        self.earliest: int | None = None  # the earliest time at which bytes of this read can have arrived; None until it is needed
+        self.last_bytes_at = 0  # when the last bytes of this read arrived
+        self.more_in_socket: object = False  # truthy if further bytes were in the socket after this read
+        self.earliest_known: int | None = None  # the earliest time at which bytes of this read can have arrived; None until it is needed
         self.core_waited = 0  # `core_wait` of this thread at the last check
-        self.reads = 0  # number of reads since the last check of `core_wait`
+        self.reads_since_check = 0  # number of reads since the last check of `core_wait`
 
-    def read(self, now: int, more) -> None:
-        """Notes that a read has returned. `more` is true if further bytes are in the socket."""
+    def note_read(self, now: int, more_in_socket) -> None:
+        """Notes that a read has returned. `more_in_socket` is true if further bytes are in the socket."""
         if now - self.read_at > LATE_READ:  # the thread had no core, the process was stopped, or nothing arrived
             self.late_since = min(self.late_since, self.read_at)
-        self.read_at, self.more, self.earliest = now, more, None
-        self.latest = now if self.late_since == NEVER else now - min(time_since_last_data(self.sock), now - self.late_since)
-        self.reads += 1
-        if self.reads >= READS_PER_CORE_WAIT_CHECK:
+        self.read_at, self.more_in_socket, self.earliest_known = now, more_in_socket, None
+        self.last_bytes_at = now if self.late_since == NEVER else now - min(time_since_last_data(self.sock), now - self.late_since)
+        self.reads_since_check += 1
+        if self.reads_since_check >= READS_PER_CORE_WAIT_CHECK:
             self.earliest_arrival()
 
     def earliest_arrival(self) -> int:
         """A time before which no byte of this read arrived."""
-        if self.earliest is None:
+        if self.earliest_known is None:
             waited = core_wait(self.thread_id)
             runnable_since = self.read_at - max(0, waited - self.core_waited)
-            self.core_waited, self.reads = waited, 0
-            self.earliest = max(
-                min(self.late_since, self.latest), min(self.latest, runnable_since, self.answer_sender.stalled_since(self.read_at))
+            self.core_waited, self.reads_since_check = waited, 0
+            self.earliest_known = max(
+                min(self.late_since, self.last_bytes_at),
+                min(self.last_bytes_at, runnable_since, self.answer_sender.stalled_since(self.read_at)),
             )
-        return self.earliest
+        return self.earliest_known
 
-    def of_request(self, followed: bool) -> int:
+    def request_time(self, followed: bool) -> int:
         """The time from which the time limit of a request counts that this read completed. `followed` is true if the read returned
-        further bytes after the request. If `late_since` is NEVER, a caller may use `latest` without this call."""
-        return self.earliest_arrival() if followed or self.more else self.latest
+        further bytes after the request. If `late_since` is NEVER, a caller may use `last_bytes_at` without this call."""
+        return self.earliest_arrival() if followed or self.more_in_socket else self.last_bytes_at
 
     def all_processed(self, unfinished: bool) -> None:
         """Notes that all requests of this read were handled. `unfinished` is true if the read ended within a request."""
-        if (self.more or unfinished) and self.read_at - self.earliest_arrival() > LATE_READ:
+        if (self.more_in_socket or unfinished) and self.read_at - self.earliest_arrival() > LATE_READ:
             self.late_since = self.earliest_arrival()  # the bytes that follow in the socket arrived after this
         else:
             self.late_since = NEVER  # the next read returns new bytes only
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -25,7 +25,7 @@
 MAX_STREAMS_AHEAD = 4096  # stream numbers that a connection has used while a smaller one is still unused
 MAX_DISCARDED_BYTES = 1 << 20  # how much is read and discarded from a connection that gets no further answers
 MAX_READS_BEFORE_HANDOVER = 4  # further reads, while more bytes are in the socket, before admitted txns are handed to the Router
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 LISTEN_RETRY_PAUSE_S = 0.1
 BACKLOG_WAIT_S = 1.0  # how long a failing accept is retried while the listener closes
 DESCRIPTOR_WAIT_S = 0.1  # how long a new connection waits for a free descriptor
@@ -45,7 +45,7 @@
         try:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             sock.bind(address)
-            sock.listen(BACKLOG)
+            sock.listen(LISTEN_BACKLOG)
         except OSError:
             sock.close()
             raise
@@ -79,13 +79,13 @@
         self.client_writer = ClientWriter(sock, encode, client_listener.answer_sender)
         self.client_writer.on_descriptor_freed = self.descriptor_freed
         self.used_streams = UsedStreams()
-        self.state_since = time.monotonic()  # when it was accepted, its unfinished frame began, or reading it failed
+        self.state_since = time.monotonic()  # the time of the accept, the start of an unfinished frame, or the failure
         self.unfinished_bytes = 0  # received bytes of an unfinished frame
         self.sent_usable_request = False
-        self.failed = False  # it sent something unreadable, so further bytes are discarded
+        self.failed = False  # the client sent something unreadable; further bytes are discarded
 
     def read(self) -> None:
-        """Reads and handles what the client sends until the connection ends."""
+        """Reads and handles what the client sends until the connection ends. Runs in the connection's reader thread."""
         decoder, discarded_bytes, further_reads, handled_any = frames.Decoder(), 0, 0, False
         receive_buffer, arrivals = decoder.receive_buffer, ArrivalTimes(self.sock, self.client_listener.answer_sender)
         poll = receive_poll(self.sock).poll
@@ -93,7 +93,7 @@
             while size := self.sock.recv_into(
                 receive_buffer.view if self.failed or self.client_writer.shut_at else receive_buffer.free_space()
             ):
-                # After a failure or a shut it reads on only to see the client's close: closing a socket with unread bytes
+                # After a failure or a shut, the reader only waits for the client's close: closing a socket with unread bytes
                 # resets the connection, and the client could lose the last answers.
                 if self.failed or self.client_writer.shut_at:
                     self.client_writer.processed_bytes += size
@@ -105,19 +105,23 @@
                 if (events := poll(0)) and events[0][1] & PEER_CLOSED:
                     break  # the client has left; otherwise hops would start for thousands of clients that send and close
                 now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-                if now - arrivals.read_at > LATE_READ or arrivals.late_since != NEVER or arrivals.reads >= READS_PER_CORE_WAIT_CHECK:
-                    arrivals.read(now, events)
-                else:  # does the same as `arrivals.read` in the usual case, without a call
-                    arrivals.read_at = arrivals.latest = now
-                    arrivals.reads += 1
-                self.client_listener.route.start_batch()
+                if (
+                    now - arrivals.read_at > LATE_READ
+                    or arrivals.late_since != NEVER
+                    or arrivals.reads_since_check >= READS_PER_CORE_WAIT_CHECK
+                ):
+                    arrivals.note_read(now, events)
+                else:  # does the same as `arrivals.note_read` in the usual case, without a call
+                    arrivals.read_at = arrivals.last_bytes_at = now
+                    arrivals.reads_since_check += 1
+                self.client_listener.router_host.start_batch()
                 try:
-                    for value in decoder.decode_received(size):
-                        self.handle(
-                            value,
-                            arrivals.latest
+                    for frame in decoder.decode_received(size):
+                        self.handle_frame(
+                            frame,
+                            arrivals.last_bytes_at
                             if arrivals.late_since == NEVER
-                            else arrivals.of_request(receive_buffer.start < receive_buffer.end),
+                            else arrivals.request_time(receive_buffer.start < receive_buffer.end),
                         )
                         handled_any = True
                         if self.failed:
@@ -127,8 +131,8 @@
                         arrivals.all_processed(unfinished=unfinished_bytes > 0)
                     if unfinished_bytes or self.unfinished_bytes:
                         self.set_unfinished(unfinished_bytes)
-                except frames.BadFrame as bad:
-                    self.fail(str(bad))
+                except frames.BadFrame as error:
+                    self.fail(str(error))
                 finally:
                     self.client_writer.processed_bytes += size
                     # Bytes that are still in the socket may cancel what was just read, so they are read before a hop starts.
@@ -138,7 +142,7 @@
                     )
                     if not further_reads:
                         handled_any = False
-                        self.client_listener.route.finish_batch()
+                        self.client_listener.router_host.finish_batch()
                         if self.client_writer.release_needed:
                             self.client_writer.release_waiting()
         except OSError:
@@ -147,7 +151,7 @@
             contained_errors.record("client")
         self.set_unfinished(0)
         self.client_listener.connection_ended(self)
-        self.client_listener.route.finish_batch()
+        self.client_listener.router_host.finish_batch()
         self.client_writer.release_waiting()
 
     def descriptor_freed(self) -> None:
@@ -169,27 +173,27 @@
         self.client_writer.write(frames.encode_unreadable())
         self.client_writer.close_when_done()
 
-    def handle(self, value, received_at: int) -> None:
+    def handle_frame(self, frame, received_at: int) -> None:
         """Handles one decoded frame. An unexpected error costs this connection: the request at hand is answered, nothing further is
         read, and the other owed answers are still sent."""
         try:
-            if isinstance(value, frames.Withdrawal):
-                ident = self.client_writer.streams.pop(value.stream, None)
+            if isinstance(frame, frames.Withdrawal):
+                ident = self.client_writer.streams.pop(frame.stream, None)
                 if ident is not None:
                     self.client_listener.withdraw(ident)
-            elif isinstance(value, frames.ReadyQuery):
-                self.client_writer.write(frames.encode_ready_reply(value.stream, self.client_listener.ready))
-            elif not self.used_streams.use(value.stream):
+            elif isinstance(frame, frames.ReadyQuery):
+                self.client_writer.write(frames.encode_ready_reply(frame.stream, self.client_listener.ready))
+            elif not self.used_streams.use(frame.stream):
                 raise frames.BadFrame("stream used again")
             elif len(self.client_writer.streams) >= MAX_OPEN_STREAMS:
-                self.client_writer.write(encode(value.stream, Answer("rejected", self.client_listener.admission.retry_after_ms)))
+                self.client_writer.write(encode(frame.stream, Answer("rejected", self.client_listener.admission.retry_after_ms)))
             else:
-                self.sent_usable_request |= self.client_listener.admission.handle_request(value, self.client_writer, received_at)
+                self.sent_usable_request |= self.client_listener.admission.handle_request(frame, self.client_writer, received_at)
         except frames.BadFrame:
             raise
         except Exception:
             contained_errors.record("client")
-            self.fail_stream(value.stream)
+            self.fail_stream(frame.stream)
 
     def fail_stream(self, stream: int) -> None:
         """Fails the connection after an unexpected error in a frame on this stream. If the stream has a request that is not among the
@@ -242,10 +246,10 @@
         client_timeout: int,
         admission: Admission,
         open_txns: OpenTxns,
-        route,
+        router_host,
         answer_sender: AnswerSender,
     ):
-        self.admission, self.open_txns, self.route, self.answer_sender = admission, open_txns, route, answer_sender
+        self.admission, self.open_txns, self.router_host, self.answer_sender = admission, open_txns, router_host, answer_sender
         self.max_clients, self.client_timeout_ms = max_clients, client_timeout // MS
         self.max_unfinished_bytes, self.unfinished_bytes = max_unfinished_bytes, 0  # of unfinished frames, of all connections
         self.ready = self.end_began = False  # end_began: the program has begun to end
@@ -376,7 +380,7 @@
     def withdraw(self, ident: int, client_left: bool = False) -> None:
         """Withdraws a txn and notifies the Router, unless the txn has ended already."""
         if self.open_txns.withdraw(ident, client_left):
-            self.route.post(self.route.txn_withdrawn, ident)
+            self.router_host.post(self.router_host.txn_withdrawn, ident)
 
     def connection_freed(self, client: ClientConnection) -> None:
         """Removes a connection whose descriptor is free."""
@@ -436,7 +440,7 @@
     def shut_connections(self, late: bool) -> bool:
         """Shuts each connection that owes no answer. Returns whether all are shut, so that no further request can be admitted.
 
-        Unless `late`, a connection with an unread or unfinished request is left open for now."""
+        A connection with an unread or unfinished request is left open for now, unless `late`: the program has to end soon."""
         with self.lock:
             clients = list(self.clients)
         for client in clients:
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -37,13 +37,13 @@
 
 
 class ClientWriter:
-    """The writing side of one client's connection. `encode` turns an answer into the bytes of the client protocol."""
+    """Writes answers to one client. `encode` turns an answer into the bytes of the client protocol."""
 
     def __init__(self, sock: socket.socket, encode, answer_sender: AnswerSender):
         self.sock, self.encode, self.answer_sender = sock, encode, answer_sender
         self.streams: dict[int, int] = {}  # number of the open txn by stream
         self.lock = threading.Lock()
-        self.corked: list[bytes] = []  # answers from one read of a server connection, to be written together; still counted as owed
+        self.corked: list[bytes] = []  # answers to be written together, from one read of a server connection; they still count as owed
         self.write_queue: deque[bytes] = deque()  # bytes that the socket did not take at once
         self.draining = False  # a thread writes what is in `write_queue`
         self.closing = False  # the connection closes once no answer is owed
@@ -55,9 +55,9 @@
         self.idle_since = time.monotonic()
         self.waiting_hops: list = []  # hops that wait until the reader has processed the bytes in the socket
         self.late_answers: list[LateAnswer] = []  # answers that wait for the same, as their time limit has passed
-        self.client_sent = 0  # bytes that the client had sent at the last check that found unread bytes
-        # Whether the reader has to call `release_waiting`. It is set before each check of the socket, so that a reader that processes
-        # the bytes which the check finds sees it.
+        self.client_sent_bytes = 0  # bytes that the client had sent at the last check that found unread bytes
+        # Whether the reader has to call `release_waiting`. It is set before each check of the socket, so that the reader sees it
+        # when it processes the bytes that the check finds.
         self.release_needed = False
         self.processed_bytes = 0  # bytes that the reader has processed
         self.poller = receive_poll(sock)  # only for `check_socket`, under the lock
@@ -76,7 +76,7 @@
         if include_read and not state and (bytes_received(self.sock) or 0) > self.processed_bytes:
             state = UNREAD_BYTES
         if state == UNREAD_BYTES:
-            self.client_sent = bytes_received(self.sock) or 0
+            self.client_sent_bytes = bytes_received(self.sock) or 0
         self.release_needed = state == UNREAD_BYTES or bool(self.waiting_hops or self.late_answers)
         return state
 
@@ -91,7 +91,7 @@
                 now = time.monotonic_ns()
                 if hop.reader_wait_began and now - hop.reader_wait_began <= READER_TURN:
                     return ""
-                hop.reader_wait_began, hop.reader_wait_bytes = now, self.client_sent
+                hop.reader_wait_began, hop.reader_wait_bytes = now, self.client_sent_bytes
                 self.waiting_hops.append(hop)
             return state
 
@@ -129,7 +129,7 @@
                 if state == UNREAD_BYTES:
                     data = tuple(map(bytes, data))  # copies the body, as the server connection reuses its receive buffer
                     self.answer_sender.add_held_bytes(sum(map(len, data)))
-                    self.late_answers.append(LateAnswer(stream, data, self.client_sent))
+                    self.late_answers.append(LateAnswer(stream, data, self.client_sent_bytes))
                 return False
             if self.streams.pop(stream, None) is None:
                 return False
@@ -210,7 +210,7 @@
             self.shut(socket.SHUT_WR)
 
     def shut(self, how: int) -> None:
-        """Shuts this side, so that nothing more is sent; the caller holds the lock.
+        """Shuts this side, so that nothing more is sent; `how` is as in `socket.shutdown`. The caller holds the lock.
 
         After SHUT_WR the reader still reads for a while what the client sends: closing a socket with unread bytes resets the
         connection, and the client would lose answers that it has not read."""
@@ -269,7 +269,7 @@
     def __init__(self, max_held_bytes: int):
         self.lock = threading.Lock()
         self.held_bytes, self.max_held_bytes, self.memory_refusals = 0, max_held_bytes, 0
-        self.last_tick, self.check_until = NEVER, 0  # until `check_until` answers check the client's socket first
+        self.last_tick, self.check_clients_until = NEVER, 0  # until `check_clients_until` answers check the client's socket first
         self.stall_start = 0  # the last tick before the latest stall
         # Answers that are not handed to their connection yet, by (txn, hop); only one thread uses a key. Each is added before
         # its txn is removed from the open txns, and discarded once the answer was handed over.
@@ -279,14 +279,14 @@
         """Called every `TICK`. A late call means that the process was stopped or had no core. Which of its threads runs first after
         that is chance, so for a while answers first check whether anything that their client sent is unread."""
         if now - self.last_tick > TICK_LATE:
-            self.stall_start, self.check_until = self.last_tick, now + CHECK_AFTER_STALL
+            self.stall_start, self.check_clients_until = self.last_tick, now + CHECK_AFTER_STALL
         self.last_tick = now
 
     def stalled_since(self, now: int) -> int:
         """The start of a stall, in which the process was stopped or had no core, that has just ended; `now` if there was none."""
         if now - self.last_tick > TICK_LATE:
             return self.last_tick
-        return self.stall_start if now < self.check_until else now
+        return self.stall_start if now < self.check_clients_until else now
 
     def add_held_bytes(self, size: int) -> None:
         """Counts bytes of answers that wait in this process; `size` is negative when they are released."""
@@ -301,9 +301,9 @@
         """Hands a txn's answer to its client's connection. An unexpected error while doing so cuts that connection off."""
         now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         if now - self.last_tick > TICK_LATE:
-            self.check_until = now + CHECK_AFTER_STALL
+            self.check_clients_until = now + CHECK_AFTER_STALL
         try:
-            if not txn.client_writer.answer(txn.stream, answer, corked_writers, now > txn.limit_at or now < self.check_until):
+            if not txn.client_writer.answer(txn.stream, answer, corked_writers, now > txn.limit_at or now < self.check_clients_until):
                 return
         except Exception:
             contained_errors.record("answer", txn=txn.ident)
--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -20,18 +20,18 @@
 COMPLETED = 79
 REJECTED = 66
 ABORTED = 69
-CODES = {"completed": COMPLETED, "rejected": REJECTED, "aborted": ABORTED}
+CODE_BY_OUTCOME = {"completed": COMPLETED, "rejected": REJECTED, "aborted": ABORTED}
 
-MIN_LENGTH = 5  # smallest value of a frame's length field: type and stream alone
-MAX_LENGTH = 262_144
+MIN_FRAME_LENGTH = 5  # smallest value of a frame's length field: type and stream alone
+MAX_FRAME_LENGTH = 262_144
 MAX_BODY_BYTES = 48_000  # of a request
 MAX_LIMIT_MS = 2**31
 MAX_PART = 2**32
 MAX_GROUP = 255
-HEAD = struct.Struct(">IBI")  # length of what follows, type, stream
-HEX = re.compile(r"[0-9a-fA-F]{16}")
-NUMBER = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?")
-VALUE = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,200}")  # no comma: the value is passed on to servers in a comma-separated list
+FRAME_HEAD = struct.Struct(">IBI")  # length of what follows, type, stream
+HEX_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
+DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?")
+TEXT_PATTERN = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,200}")  # no comma: the value is passed on to servers in a comma-separated list
 
 
 class BadFrame(Exception):
@@ -50,11 +50,11 @@
     rule: str
     txn: str
     limit: int  # ns
-    key: str | None
-    obj: str
-    part: int
-    group: int
-    kb: float
+    key: str | None  # idempotency key
+    obj: str  # id of the object
+    part: int  # number of the object's part
+    group: int  # the object's purge group
+    kb: float  # size in KB as the client states it, or 0
     tag: str | None  # tag of the copy that the client holds
     body: bytes
 
@@ -120,22 +120,22 @@
         fields, body_start = decode_fields(payload)
         if len(payload) - body_start > MAX_BODY_BYTES:
             raise BadField("body: too long")
-        kb = float(required_text(fields, "ram", NUMBER)) if "ram" in fields else 0.0
+        kb = float(required_text(fields, "ram", DECIMAL_PATTERN)) if "ram" in fields else 0.0
         return Request(
             stream,
-            required_text(fields, "verb", VALUE),
-            required_text(fields, "txn", HEX),
+            required_text(fields, "verb", TEXT_PATTERN),
+            required_text(fields, "txn", HEX_ID_PATTERN),
             integer_field(fields, "limit", MAX_LIMIT_MS) * 1_000_000,
-            required_text(fields, "unique", VALUE) if "unique" in fields else None,
-            required_text(fields, "item", HEX),
+            required_text(fields, "unique", TEXT_PATTERN) if "unique" in fields else None,
+            required_text(fields, "item", HEX_ID_PATTERN),
             integer_field(fields, "slice", MAX_PART, "0"),
             integer_field(fields, "set", MAX_GROUP),
             kb,
-            required_text(fields, "seen", VALUE) if fields.get("seen") else None,
+            required_text(fields, "seen", TEXT_PATTERN) if fields.get("seen") else None,
             payload[body_start:],
         )
-    except BadField as bad:
-        return UnusableRequest(stream, str(bad))
+    except BadField as error:
+        return UnusableRequest(stream, str(error))
 
 
 INITIAL_BUFFER_BYTES = 4096  # of each connection
@@ -208,28 +208,28 @@
         """Yields the values that are complete after `size` bytes were read into the free space of the receive buffer."""
         receive_buffer = self.receive_buffer
         receive_buffer.end += size
-        while receive_buffer.end - receive_buffer.start >= HEAD.size:
+        while receive_buffer.end - receive_buffer.start >= FRAME_HEAD.size:
             start = receive_buffer.start
-            length, kind, stream = HEAD.unpack_from(receive_buffer.buf, start)
-            if not MIN_LENGTH <= length <= MAX_LENGTH:
+            length, frame_type, stream = FRAME_HEAD.unpack_from(receive_buffer.buf, start)
+            if not MIN_FRAME_LENGTH <= length <= MAX_FRAME_LENGTH:
                 raise BadFrame("length out of bounds")
-            if kind not in (REQUEST, WITHDRAW, READY_QUERY):
+            if frame_type not in (REQUEST, WITHDRAW, READY_QUERY):
                 raise BadFrame("type not for a router")
             if receive_buffer.end - start < 4 + length:
                 receive_buffer.message_size = 4 + length
                 return
             receive_buffer.start, receive_buffer.message_size = start + 4 + length, 0
-            if kind == REQUEST:
-                request = decode_usual_request(stream, receive_buffer.buf, start + HEAD.size, start + 4 + length)
-                yield request or decode_request(stream, bytes(receive_buffer.view[start + HEAD.size : start + 4 + length]))
+            if frame_type == REQUEST:
+                request = decode_usual_request(stream, receive_buffer.buf, start + FRAME_HEAD.size, start + 4 + length)
+                yield request or decode_request(stream, bytes(receive_buffer.view[start + FRAME_HEAD.size : start + 4 + length]))
             else:
-                yield Withdrawal(stream) if kind == WITHDRAW else ReadyQuery(stream)
+                yield Withdrawal(stream) if frame_type == WITHDRAW else ReadyQuery(stream)
 
 
 MAX_JOINED_BODY_BYTES = 8192  # up to this size a body is copied behind its head, as writing one buffer costs less than two
 
 
-def encode(kind: int, stream: int, code: int | None = None, fields: dict[str, str] | None = None, body=b"") -> tuple:
+def encode(frame_type: int, stream: int, code: int | None = None, fields: dict[str, str] | None = None, body=b"") -> tuple:
     """Encodes one frame, as buffers to write in order: a single buffer, or the head and a long body that is not copied."""
     parts = []
     if code is not None:
@@ -237,24 +237,24 @@
         for name, value in (fields or {}).items():
             encoded_name, encoded_value = name.encode(), value.encode()
             parts += (bytes((len(encoded_name),)), encoded_name, len(encoded_value).to_bytes(2, "big"), encoded_value)
-    head = b"".join((HEAD.pack(5 + sum(map(len, parts)) + len(body), kind, stream), *parts))
+    head = b"".join((FRAME_HEAD.pack(5 + sum(map(len, parts)) + len(body), frame_type, stream), *parts))
     return (head + body,) if len(body) <= MAX_JOINED_BODY_BYTES else (head, body)
 
 
-HEAD_WITHOUT_FIELDS = struct.Struct(">IBIBB")  # of an answer: length, type, stream, result code, number of fields
+ANSWER_HEAD_WITHOUT_FIELDS = struct.Struct(">IBIBB")  # of an answer: length, type, stream, result code, number of fields
 
 
 def encode_answer(stream: int, outcome: str, retry_after_ms: int = 0, unchanged: bool = False, body=b"") -> tuple:
     """Encodes an answer, as buffers to write in order; most answers have no fields and take the short way."""
     if not retry_after_ms and not unchanged:
-        head = HEAD_WITHOUT_FIELDS.pack(7 + len(body), ANSWER, stream, CODES[outcome], 0)
+        head = ANSWER_HEAD_WITHOUT_FIELDS.pack(7 + len(body), ANSWER, stream, CODE_BY_OUTCOME[outcome], 0)
         return (head + body,) if len(body) <= MAX_JOINED_BODY_BYTES else (head, body)
     fields = {}
     if retry_after_ms:
         fields["later"] = str(retry_after_ms)
     if unchanged:
         fields["current"] = "1"
-    return encode(ANSWER, stream, CODES[outcome], fields, body)
+    return encode(ANSWER, stream, CODE_BY_OUTCOME[outcome], fields, body)
 
 
 def encode_ready_reply(stream: int, is_ready: bool) -> tuple:
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -28,11 +28,11 @@
     ident: int  # this router's own number of the txn
     name: str  # the client's id of the txn
     rule_index: int
-    rule: str
-    obj: str
-    part: int
-    group: int
-    kb: float
+    rule: str  # name of its remap rule
+    obj: str  # id of the object
+    part: int  # number of the object's part
+    group: int  # the object's purge group
+    kb: float  # size in KB as the client states it, or 0
     key: str | None  # idempotency key of a keyed txn
     tag: str | None  # tag of the copy that the client holds
     body: bytes
--- a/tests/test_arrival.py
+++ b/tests/test_arrival.py
@@ -30,7 +30,7 @@
     monkeypatch.setattr(arrival_times, "time_since_last_data", lambda sock: reported.last_bytes_age)
     answer_sender = AnswerSender(1 << 20)
     arrivals = ArrivalTimes(socket.socket(), answer_sender)
-    arrivals.read(10_000 * MS, False)
+    arrivals.note_read(10_000 * MS, False)
     arrivals.all_processed(unfinished=False)
     answer_sender.tick(12_000 * MS)
     return arrivals, answer_sender, reported
@@ -39,8 +39,8 @@
 def test_the_only_request_of_a_read_is_dated_by_the_last_bytes_without_reading_the_core_wait(reader):
     arrivals, _, reported = reader
     reported.last_bytes_age, reported.core_wait = 300 * MS, 900 * MS
-    arrivals.read(12_000 * MS, False)
-    assert arrivals.of_request(followed=False) == 11_700 * MS
+    arrivals.note_read(12_000 * MS, False)
+    assert arrivals.request_time(followed=False) == 11_700 * MS
     arrivals.all_processed(unfinished=False)
     assert not reported.core_wait_reads
 
@@ -48,22 +48,22 @@
 def test_all_but_the_last_request_are_dated_by_the_thread_s_wait_for_a_core(reader):
     arrivals, answer_sender, reported = reader
     reported.core_wait = 700 * MS
-    arrivals.read(12_000 * MS, False)
-    assert arrivals.of_request(followed=True) == 11_300 * MS and arrivals.of_request(followed=False) == 12_000 * MS
+    arrivals.note_read(12_000 * MS, False)
+    assert arrivals.request_time(followed=True) == 11_300 * MS and arrivals.request_time(followed=False) == 12_000 * MS
     arrivals.all_processed(unfinished=False)
     answer_sender.tick(12_200 * MS)
-    arrivals.read(12_400 * MS, False)  # the wait that was counted already is not counted again
-    assert arrivals.of_request(followed=True) == 12_400 * MS
+    arrivals.note_read(12_400 * MS, False)  # the wait that was counted already is not counted again
+    assert arrivals.request_time(followed=True) == 12_400 * MS
 
 
 def test_no_request_is_dated_before_the_read_that_emptied_the_socket(reader):
     arrivals, _, reported = reader
     reported.core_wait = 30_000 * MS
-    arrivals.read(12_000 * MS, False)
-    assert arrivals.of_request(followed=True) == 10_000 * MS
+    arrivals.note_read(12_000 * MS, False)
+    assert arrivals.request_time(followed=True) == 10_000 * MS
     arrivals.all_processed(unfinished=False)
-    arrivals.read(12_020 * MS, False)
-    assert arrivals.of_request(followed=True) == 12_020 * MS
+    arrivals.note_read(12_020 * MS, False)
+    assert arrivals.request_time(followed=True) == 12_020 * MS
 
 
 @pytest.mark.parametrize("ticked_first", [True, False])
@@ -72,23 +72,23 @@
     resumed_at = 12_000 * MS + TICK_LATE + 400 * MS
     if ticked_first:
         answer_sender.tick(resumed_at)
-    arrivals.read(resumed_at + 5 * MS, False)
-    assert arrivals.of_request(followed=True) == 12_000 * MS
+    arrivals.note_read(resumed_at + 5 * MS, False)
+    assert arrivals.request_time(followed=True) == 12_000 * MS
 
 
 def test_bytes_that_follow_a_late_read_are_dated_after_it(reader):
     arrivals, answer_sender, _ = reader
     answer_sender.tick(12_600 * MS)
-    arrivals.read(12_610 * MS, True)
+    arrivals.note_read(12_610 * MS, True)
     arrivals.all_processed(unfinished=True)
-    arrivals.read(12_611 * MS, True)
-    assert arrivals.of_request(followed=False) == 12_000 * MS
+    arrivals.note_read(12_611 * MS, True)
+    assert arrivals.request_time(followed=False) == 12_000 * MS
     arrivals.all_processed(unfinished=False)
-    arrivals.read(12_612 * MS, False)
-    assert arrivals.of_request(followed=False) == 12_612 * MS
+    arrivals.note_read(12_612 * MS, False)
+    assert arrivals.request_time(followed=False) == 12_612 * MS
     arrivals.all_processed(unfinished=False)
-    arrivals.read(12_613 * MS, False)
-    assert arrivals.of_request(followed=True) == 12_613 * MS
+    arrivals.note_read(12_613 * MS, False)
+    assert arrivals.request_time(followed=True) == 12_613 * MS
 
 
 def test_many_short_waits_for_a_core_do_not_count_as_one_long_wait(reader):
@@ -96,11 +96,11 @@
     for milliseconds in range(10 * READS_PER_CORE_WAIT_CHECK):
         answer_sender.tick((12_000 + milliseconds) * MS)
         reported.core_wait += MS // 10
-        arrivals.read((12_000 + milliseconds) * MS, False)
+        arrivals.note_read((12_000 + milliseconds) * MS, False)
         arrivals.all_processed(unfinished=False)
     answer_sender.last_tick = arrivals.read_at + 1000 * MS
-    arrivals.read(answer_sender.last_tick, False)
-    assert arrivals.read_at - arrivals.of_request(followed=True) <= READS_PER_CORE_WAIT_CHECK * MS // 10
+    arrivals.note_read(answer_sender.last_tick, False)
+    assert arrivals.read_at - arrivals.request_time(followed=True) <= READS_PER_CORE_WAIT_CHECK * MS // 10
     assert reported.core_wait_reads <= 12
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -107,17 +107,17 @@
     router_sock.close(), client_sock.close()
 
 
-@pytest.mark.parametrize("leaves", ["closes", "resets", "closes behind bytes", "half-closes"])
-def test_a_hop_is_not_written_if_its_client_s_close_is_still_unread(leaves):
+@pytest.mark.parametrize("departure", ["closes", "resets", "closes behind bytes", "half-closes"])
+def test_a_hop_is_not_written_if_its_client_s_close_is_still_unread(departure):
     """A txn has waited at the startup gate, behind a leader, for a connection or for a retry. Its reader has not run since then."""
     cache, (router_sock, client_sock) = Cache(), loopback_pair()
     pool = sender(cache.address, open_txns=OpenTxns())
     hop = open_txn_with_hop(pool, ClientWriter(router_sock, encode, pool.answer_sender), taken_ms_ago=50)
-    if leaves == "resets":
+    if departure == "resets":
         client_sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-    if leaves == "closes behind bytes":
+    if departure == "closes behind bytes":
         client_sock.sendall(b"half a frame")
-    client_sock.shutdown(socket.SHUT_WR) if leaves == "half-closes" else client_sock.close()
+    client_sock.shutdown(socket.SHUT_WR) if departure == "half-closes" else client_sock.close()
     poll = select.poll()
     poll.register(router_sock, select.POLLIN)
     assert poll.poll(2000)
@@ -231,9 +231,9 @@
     client_listener.listening_socket.close()
 
 
-@pytest.mark.parametrize("lies", ["unread", "in its reader's hand"])
-@pytest.mark.parametrize("unread", ["its cancel", "another frame"])
-def test_an_answer_past_its_time_limit_waits_until_its_client_s_bytes_are_processed(unread, lies):
+@pytest.mark.parametrize("bytes_are", ["unread", "in its reader's hand"])
+@pytest.mark.parametrize("sent_by_client", ["its cancel", "another frame"])
+def test_an_answer_past_its_time_limit_waits_until_its_client_s_bytes_are_processed(sent_by_client, bytes_are):
     """The process was stopped or had no core: the server's answer, the client's cancel and the time limit are all due at once."""
     router_sock, client_sock = loopback_pair()
     answer_sender = AnswerSender(1 << 20)
@@ -242,17 +242,17 @@
     assert client_writer.open_stream(1, 5)
     client_sock.sendall(b"\0\0\0\5C\0\0\0\1")
     select.select([router_sock], [], [])
-    if lies == "in its reader's hand":
+    if bytes_are == "in its reader's hand":
         router_sock.recv(100)
     answer_sender.answer(txn, Answer("completed", body=memoryview(b"x" * 70_000)))
     assert not select.select([client_sock], [], [], 0)[0] and answer_sender.held_bytes > 70_000 and client_writer.streams
     client_writer.processed_bytes += 9  # the reader processes the bytes
-    if lies == "unread":
+    if bytes_are == "unread":
         router_sock.recv(100)
-    if unread == "its cancel":
+    if sent_by_client == "its cancel":
         del client_writer.streams[1]
     client_writer.release_waiting()
-    assert bool(select.select([client_sock], [], [], 0)[0]) == (unread != "its cancel")
+    assert bool(select.select([client_sock], [], [], 0)[0]) == (sent_by_client != "its cancel")
     assert not answer_sender.held_bytes and not client_writer.streams and not client_writer.late_answers
     router_sock.close(), client_sock.close()
 
@@ -276,12 +276,12 @@
     assert client.get() is None
 
 
-@pytest.mark.parametrize("together", [1, 32])
-def test_requests_of_a_client_that_has_already_closed_are_not_forwarded(run, together):
+@pytest.mark.parametrize("request_count", [1, 32])
+def test_requests_of_a_client_that_has_already_closed_are_not_forwarded(run, request_count):
     """The client sends and closes while the router is stopped. When the router goes on, the close lies behind the requests."""
     cache, service, client, other = service_with_two_clients(run)
     pause(service.process)
-    for stream in range(1, together + 1):
+    for stream in range(1, request_count + 1):
         client.ask(stream)
     client.sock.shutdown(socket.SHUT_WR)
     at_its_peer(client.sock, 8)
@@ -378,6 +378,7 @@
 
 
 def connect_client(client_listener, accept=True):
+    """A client that is connected to the listener; its connection is accepted here, or left in the backlog."""
     client = Client("%s:%d" % client_listener.listening_socket.getsockname())
     if accept:
         client_listener.add_connection(client_listener.listening_socket.accept()[0])
@@ -503,10 +504,10 @@
     for client in remote_clients:
         client.ask(1)
     until(lambda: all(client.client_writer.streams for client in client_listener.clients))
-    began = time.monotonic()
+    connected_at = time.monotonic()
     assert (
         connect_client(client_listener).get() is None
-        and time.monotonic() - began < 0.5
+        and time.monotonic() - connected_at < 0.5
         and len(client_listener.clients) == len(remote_clients)
     )
     client_listener.listening_socket.close()
@@ -634,6 +635,7 @@
 
 @pytest.fixture
 def may_connect(monkeypatch):
+    """Connections to servers wait until the test sets this event."""
     may_connect = threading.Event()
     monkeypatch.setattr(SocketThatWaitsToConnect, "may_connect", may_connect)
     monkeypatch.setattr("fieldspur.net.server_connection.socket", SimpleNamespace(**vars(socket) | {"socket": SocketThatWaitsToConnect}))
@@ -642,6 +644,7 @@
 
 
 def keyed_retry_hop(pool, go_by, ident=5, body=b""):
+    """A hop that repeats a keyed txn and has to be written by `go_by`."""
     hop = open_txn_with_hop(pool, staying_client_writer(pool), ident=ident, rule="checkout")
     hop.want.key, hop.want.body, hop.go_by, hop.number = "k" * 16, body, go_by, 1
     return hop
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -112,7 +112,7 @@
     client_listener.admission.handle_request = lambda request, client_writer, now: (
         client_writer.open_stream(request.stream, 7) and not times.update({request.stream: now})
     )
-    client_listener.route.finish_batch = lambda: time.sleep(0.3) if len(times) == 1 else None
+    client_listener.router_host.finish_batch = lambda: time.sleep(0.3) if len(times) == 1 else None
     there = connect_client(client_listener)
     there.ask(1)
     until(lambda: times)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -520,10 +520,12 @@
 
 
 def send_probe(pool, name="busy-1"):
+    """Sends a probe to the server `c0`."""
     return send_hop(pool, Hop(0, 1, name, "c0", None, None, clock()))
 
 
 def send_hop(pool, hop):
+    """Hands a hop to its connection and writes it, as the router does."""
     connection = pool.enqueue(hop)
     if connection is not None:
         connection.write_queued()
