--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -1,4 +1,4 @@
-"""The Router's lock, its queue and its timers; and its host. No socket call is made while the lock is held."""
+"""The host of the Router: its lock, event queue and timers. No socket call is made while the lock is held."""
 
 from __future__ import annotations
 
@@ -23,267 +23,290 @@
 from fieldspur.site import MS, Deployment, build_router
 
 log = logging.getLogger("fieldspur.route")
-FADE, FADE_STEP = 1_000 * MS, 1 * MS  # in which most of a lag is forgotten; how often that is worked out
-ALARM, PROBE, HELD, OVERDUE = -1, 0, -2, -3  # in place of a txn's number
-WATCH_OVERDUE, LONGEST_WATCH = 100 * MS, 60_000 * MS  # after an unforeseen error, requests past their time are looked for
-UNKNOWN = 0, 0  # start of a server that is not listed, or has stood from the first
-BY_ROUTER = -1  # in place of a hop's number: its own answers
-MAX_QUEUED = 512  # events; beyond, new txns are rejected at once
-AT_ONCE, MOST_FOR_OTHERS = 16, 8  # events under one lock; such turns that a thread takes on end
-LOOK_AGAIN = 250 * MS  # at an empty wheel
-LONGEST, WAIT_TURN = 3600.0, 0.0005  # seconds that the timers' thread sleeps at most; that it leaves to who is at it
+LAG_FADE_TIME = 1_000 * MS  # `recent_lag` falls to 0 within that time
+LAG_FADE_STEP = 1 * MS  # how often the fading is worked out
 
+# Timers and hops have the key (ident, number). These stand in place of a txn's number:
+PROBE = 0  # a probe
+ALARM = -1  # an alarm of the Router; the number is the alarm's label
+GATE_TIMEOUT = -2  # the end of a txn's wait at the startup gate; the number is the txn's
+OVERDUE_CHECK = -3  # a check for overdue txns after an unforeseen error
 
-class Mine(threading.local):
-    busy = False  # this thread is in `work`
+OVERDUE_CHECK_INTERVAL = 100 * MS
+OVERDUE_CHECK_TIME = 60_000 * MS  # for how long after an unforeseen error overdue txns are looked for
+UNKNOWN_START = 0, 0  # entry of `server_starts` for a server that is not listed, or has been there from the first
+ROUTER_ANSWER = -1  # in place of a hop's number: an answer that the Router itself gives
+MAX_QUEUED = 512  # events; with more of them waiting, new txns are rejected at once
+EVENTS_PER_TURN = 16  # events that are handled before the lock is released
+MAX_TURNS = 8  # turns that a thread takes for events of others, before it leaves the rest to the timer thread
+IDLE_TIMER_CHECK = 250 * MS  # when the timers are checked again although none is set
+MAX_SLEEP_S = 3600.0  # longest sleep of the timer thread
+BUSY_PAUSE_S = 0.0005  # pause of the timer thread while another thread handles events
+
+
+class ThreadState(threading.local):
+    """State of each thread that uses the host."""
+
+    defers_events = False  # this thread handles the events that it posts later: it is in `process_queue` or in a batch
 
 
 class RouterHost:
-    def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, answer_sender: AnswerSender, send: ConnectionPool):
-        self.site, self.open_txns, self.answer_sender, self.pool = site, open_txns, answer_sender, send
-        send.host = self
-        self.queue: deque = deque()  # bounded by most_queued and the open txns
+    """Runs the Router: one thread at a time calls it, with events that any thread posts and with timers that are due. Its calls of the
+    host interface (host.Host) are carried out here; what they write to sockets goes out after the lock is released."""
+
+    def __init__(self, site: Deployment, seed: int, open_txns: OpenTxns, answer_sender: AnswerSender, pool: ConnectionPool):
+        self.site, self.open_txns, self.answer_sender, self.pool = site, open_txns, answer_sender, pool
+        pool.host = self
+        self.queue: deque = deque()  # events as (method, arguments, time posted); bounded by `max_queued` and the open txns
         self.max_queued = MAX_QUEUED
-        self.lock = threading.Lock()  # of the Router, the wheel and all below; taken without waiting
-        self.router_thread = None  # the thread in the Router
-        self.mine, self.outbox = Mine(), []  # what to write once the lock is released
-        self.timers, self.alarms = TimerWheel(), {}  # wakes: times of the Router's alarms
-        self.soonest = NEVER  # no timer is due before
-        self.used = self.asleep = False  # a timer was set since the last look; the timers' thread sleeps
-        self.bell = threading.Lock()
-        self.bell.acquire()
-        self.order = itertools.count()
-        self.starts: dict[str, tuple[int, int]] = {}  # of servers: as told, and by this process' clock
-        self.hops: dict[tuple[int, int], Hop] = {}  # out, by the Router's numbers
+        self.lock = threading.Lock()  # guards the Router, the timers and everything below; threads never wait for it
+        self.router_thread = None  # ident of the thread that holds `lock`
+        # outbox: (connection, txn, answer), to be written once the lock is released; either the connection or the others are None.
+        self.thread_state, self.outbox = ThreadState(), []
+        self.timers, self.alarms = TimerWheel(), {}  # alarms: times of the Router's alarms by label
+        self.next_timer_at = NEVER  # no timer is due before this time
+        self.timer_was_set = self.timer_thread_asleep = False  # timer_was_set: since the last `run_due_timers`
+        self.wakeup = threading.Lock()  # the timer thread sleeps on it; releasing it wakes the thread up
+        self.wakeup.acquire()
+        self.probe_numbers = itertools.count()
+        self.server_starts: dict[str, tuple[int, int]] = {}  # by server: its start as listed, and by the program's clock
+        self.hops: dict[tuple[int, int], Hop] = {}  # hops and probes that have not ended, by (ident, number)
         self.clock = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-        self.max_lag = 0  # longest that an event or timer waited since the last look
-        self.recent_lag = 0  # the same, fading: how late this thread now is
-        self.faded = self.clock
+        self.max_lag = 0  # the longest wait of an event or timer; the reader of this counter resets it
+        self.recent_lag = 0  # the same, but fading: how late events are handled now
+        self.lag_updated_at = self.clock
         self.router = build_router(self, seed, site)
-        self.gate: StartupGate | None = None  # while it is there, txns wait for the board's first word
-        self.held: dict[int, Txn] = {}  # those, as they came
-        self.purges = 0  # how many of those told the Router has
-        self.attempts = dict.fromkeys(RESULTS, 0)  # that ended, by result
-        self.watched_until = 0  # until when requests whose time is over are looked for
-
-    # Events. Other threads post them; each is handled by the one thread.
-
-    def post(self, what, *about) -> None:
-        """Whoever has an event posts it, and handles it and what else waits unless another thread is at that. That one
-        looks again before it goes, so nothing is left and nobody waits for the lock."""
-        self.queue.append((what, about, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
-        if not self.mine.busy:
+        self.gate: StartupGate | None = None  # while it is set, new txns wait until the server list is known
+        self.gated_txns: dict[int, Txn] = {}  # txns that wait at the gate, in their order of arrival
+        self.purge_count = 0  # number of purges passed to the Router
+        self.attempts = dict.fromkeys(RESULTS, 0)  # number of ended hops and probes by result
+        self.overdue_checks_until = 0  # until when `end_overdue_txns` is repeated
+
+    # Events. Any thread posts them; one thread at a time handles them.
+
+    def post(self, method, *arguments) -> None:
+        """Posts an event, a method and its arguments, and handles the queue unless another thread does. That thread checks the queue again
+        before it stops, so that no event is left behind and no thread waits for the lock."""
+        self.queue.append((method, arguments, time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
+        if not self.thread_state.defers_events:
             self.process_queue()
 
     def start_batch(self) -> None:
-        """What this thread posts from here on waits for `handle`, so that what it leads to goes out together."""
-        self.mine.busy = True
+        """Events that this thread posts from now on wait for `finish_batch`, so that what they cause is written together."""
+        self.thread_state.defers_events = True
 
     def finish_batch(self) -> None:
-        self.mine.busy = False
+        """Handles the events that were posted since `start_batch`."""
+        self.thread_state.defers_events = False
         if self.queue:
             self.process_queue()
 
-    def process_queue(self, most: int = MOST_FOR_OTHERS) -> bool:
-        """Handle what waits unless another thread is at it: false, then. What an event leads to on sockets goes out
-        after a few of them, once the lock is released."""
-        mine, queue, lock = self.mine, self.queue, self.lock
-        mine.busy = True  # what is posted below, by what it acts on, is handled by this loop
+    def process_queue(self, turns: int = MAX_TURNS) -> bool:
+        """Handles queued events and due timers, or returns False if another thread is doing so. What the events cause on sockets is written
+        after each turn of a few events, once the lock is released. With `turns` 0 the number of turns is not limited."""
+        thread_state, queue, lock = self.thread_state, self.queue, self.lock
+        thread_state.defers_events = True  # events that are posted by the code called below are handled by this loop
         try:
             while lock.acquire(False):
                 try:
                     if self.router_thread is not None:
                         check_invariant(False, "one caller in the Router at a time")
-                    self.router_thread = me = threading.get_ident()
-                    left = AT_ONCE
-                    while left:
+                    self.router_thread = this_thread = threading.get_ident()
+                    events_left = EVENTS_PER_TURN
+                    while events_left:
                         self.clock = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
-                        if now >= self.soonest:
-                            self.tick()
+                        if now >= self.next_timer_at:
+                            self.run_due_timers()
                         if not queue:
                             break
-                        what, about, posted = queue.popleft()
-                        late = now - posted
-                        if late > self.max_lag or late > self.recent_lag or now - self.faded >= FADE_STEP:
-                            self.record_lag(late)
+                        method, arguments, posted_at = queue.popleft()
+                        lag = now - posted_at
+                        if lag > self.max_lag or lag > self.recent_lag or now - self.lag_updated_at >= LAG_FADE_STEP:
+                            self.record_lag(lag)
                         try:
-                            what(*about)
+                            method(*arguments)
                         except Exception:
-                            self.failed(about)
-                        left -= 1
-                    if self.router_thread != me:
+                            self.contain_error(arguments)
+                        events_left -= 1
+                    if self.router_thread != this_thread:
                         check_invariant(False, "one caller in the Router at a time")
                     self.router_thread = None
-                    done = self.outbox
-                    if done:
+                    outbox = self.outbox
+                    if outbox:
                         self.outbox = []
-                except Exception:  # whatever the thread it fell on would make of it: what must hold does not, or this loop failed
+                except Exception:  # an invariant is violated or this loop is faulty: reported here, whatever the calling thread makes of it
                     threading.excepthook(threading.ExceptHookArgs((*sys.exc_info(), threading.current_thread())))
                     raise
                 finally:
                     lock.release()
-                for lane, txn, answer in done:
-                    if lane is not None:
-                        lane.write_queued()
+                for connection, txn, answer in outbox:
+                    if connection is not None:
+                        connection.write_queued()
                     else:
                         self.answer_sender.answer(txn, answer)
-                        self.answer_sender.undelivered.discard((txn.ident, BY_ROUTER))
+                        self.answer_sender.undelivered.discard((txn.ident, ROUTER_ANSWER))
                 if not queue:
                     return True
-                most -= 1
-                if not most:
-                    self.ring()  # guards a client's thread against working for all others for long
+                turns -= 1
+                if not turns:
+                    self.wake_timer_thread()  # keeps a client's thread from working for all others for long
                     return True
             return False
         finally:
-            mine.busy = False
+            thread_state.defers_events = False
 
-    def tick(self) -> None:
-        """All timers that are due, by exact time; cuts first, for each is a final answer's last moment."""
+    def run_due_timers(self) -> None:
+        """Runs all timers that are due, in the order of their exact times. They run before queued events, because a hop's timeout may be
+        the last moment for a final answer."""
         self.clock = now = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
         due = self.timers.pop_due(now)
         for at, (ident, number) in due:
             self.clock = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
             self.record_lag(self.clock - at)
             try:
-                self.timer_due(ident, number)
+                self.handle_timer(ident, number)
             except Exception:
-                self.failed((ident if ident > PROBE else number,))
-        # An empty wheel is looked at once more, or the next txn would have to wake the thread of the timers.
-        self.soonest = min(self.timers.next_time(), now + LOOK_AGAIN if due or self.used else NEVER)
-        self.used = False
+                self.contain_error((ident if ident > PROBE else number,))
+        # Even without a timer the next check is set, otherwise the next txn would have to wake up the timer thread.
+        self.next_timer_at = min(self.timers.next_time(), now + IDLE_TIMER_CHECK if due or self.timer_was_set else NEVER)
+        self.timer_was_set = False
 
-    def timer_due(self, ident: int, number: int) -> None:
+    def handle_timer(self, ident: int, number: int) -> None:
         if ident == ALARM:
             self.alarms.pop(number, None)
             self.router.alarm_fired(number)
-        elif ident == HELD:
-            self.turn_away(number)
-        elif ident == OVERDUE:
-            self.answer_overdue()
+        elif ident == GATE_TIMEOUT:
+            self.reject_gated(number)
+        elif ident == OVERDUE_CHECK:
+            self.end_overdue_txns()
         else:
             self.hop_timed_out(ident, number)
 
-    def failed(self, about: tuple) -> None:
-        """An unforeseen error came in an event or a timer: it costs the request that it was about, which is answered at once. Where it
-        was about none, or about more than one, each request that is open still gets its answer by its deadline."""
-        first = about[0] if about else None
+    def contain_error(self, arguments: tuple) -> None:
+        """Contains an unforeseen error in an event or a timer with these arguments. It costs the txn that it concerns, which is answered at
+        once. If it concerns no txn or several, all open txns still get their answers by their time limits."""
+        first = arguments[0] if arguments else None
         ident = first if isinstance(first, int) else getattr(first, "ident", PROBE)
         contained_errors.record("event", txn=ident)
-        self.watched_until = self.clock + LONGEST_WATCH
-        self.at(self.clock + WATCH_OVERDUE, (OVERDUE, 0))
+        self.overdue_checks_until = self.clock + OVERDUE_CHECK_TIME
+        self.set_timer(self.clock + OVERDUE_CHECK_INTERVAL, (OVERDUE_CHECK, 0))
         if ident in self.open_txns.by_id:
-            self.abandon(ident)
+            self.end_after_error(ident)
 
-    def abandon(self, ident: int) -> None:
-        """The final answer of a request by the rules of what may have run, or, where even that fails, one without a promise."""
+    def end_after_error(self, ident: int) -> None:
+        """Gives a txn its final answer, by the rules for what may have run, or "aborted" if even that fails."""
         try:
             self.router.end_now(ident, GiveUp.INTERNAL_ERROR)
-            self.drop_unknown_attempt(ident)
+            self.end_unstarted_hop(ident)
         except Exception:
             contained_errors.record("event", txn=ident)
         if ident in self.open_txns.by_id:
             self.abort(ident)
 
-    def drop_unknown_attempt(self, ident: int) -> None:
-        """The Router counts an attempt as out that was never handed over: its end is told here, for nobody else will."""
+    def end_unstarted_hop(self, ident: int) -> None:
+        """Reports the end of a hop that the Router counts as in flight although it never reached this host: nothing else reports it."""
         txn = self.router.txns.get(ident)
-        attempt = txn.hops[-1] if txn is not None and txn.hops else None
-        if attempt is not None and attempt.in_flight and (ident, attempt.number) not in self.hops:
-            self.router.hop_ended(ident, attempt.number, "unsent", 0, True, 0, None, None)
+        hop = txn.hops[-1] if txn is not None and txn.hops else None
+        if hop is not None and hop.in_flight and (ident, hop.number) not in self.hops:
+            self.router.hop_ended(ident, hop.number, "unsent", 0, True, 0, None, None)
 
-    def answer_overdue(self) -> None:
-        """For a while after an unforeseen error: requests whose time is over, and of which nothing may be left that would end them."""
+    def end_overdue_txns(self) -> None:
+        """For a while after an unforeseen error, ends the txns that are past their time limit, which nothing else may be left to end."""
         for ident, txn in list(self.open_txns.by_id.items()):
-            if self.clock > txn.limit_at + WATCH_OVERDUE:
-                self.held.pop(ident, None)
-                self.abandon(ident)
-        if self.clock < self.watched_until:
-            self.at(self.clock + WATCH_OVERDUE, (OVERDUE, 0))
+            if self.clock > txn.limit_at + OVERDUE_CHECK_INTERVAL:
+                self.gated_txns.pop(ident, None)
+                self.end_after_error(ident)
+        if self.clock < self.overdue_checks_until:
+            self.set_timer(self.clock + OVERDUE_CHECK_INTERVAL, (OVERDUE_CHECK, 0))
 
     def run(self) -> None:
-        """The thread of the timers, and of what others leave."""
+        """The timer thread: runs due timers, and handles the events that other threads leave."""
         while True:
-            self.asleep = True  # before the look: who sets an earlier timer from now on rings
-            left = self.soonest - (time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
-            if left > 0 and not self.queue:
-                self.bell.acquire(timeout=min(left / 1e9, LONGEST))
-            self.asleep = False
+            self.timer_thread_asleep = True  # set before the check below: a thread that sets an earlier timer from now on wakes this one up
+            wait = self.next_timer_at - (time.monotonic_ns() + MONOTONIC_TO_UNIX_NS)
+            if wait > 0 and not self.queue:
+                self.wakeup.acquire(timeout=min(wait / 1e9, MAX_SLEEP_S))
+            self.timer_thread_asleep = False
             if not self.process_queue(0):
-                time.sleep(WAIT_TURN)  # who is at it looks at the timers too
+                time.sleep(BUSY_PAUSE_S)  # the thread that handles events runs the timers too
 
-    def ring(self) -> None:
+    def wake_timer_thread(self) -> None:
         try:
-            self.bell.release()
+            self.wakeup.release()
         except RuntimeError:
-            pass  # it rings already
-
-    def record_lag(self, span: int) -> None:
-        if span > self.max_lag:
-            self.max_lag = span
-        gone = self.clock - self.faded
-        if span > self.recent_lag or gone >= FADE_STEP:
-            self.faded = self.clock
-            self.recent_lag = max(span, self.recent_lag - self.recent_lag * min(gone, FADE) // FADE)
-
-    def at(self, when: int, key: tuple) -> None:
-        """A hop's cut, or an alarm of the Router's."""
-        self.timers.add(when, key)
-        self.used = True
-        if when < self.soonest:
-            self.soonest = when
-            if self.asleep:
-                self.ring()
+            pass  # it is being woken up already
+
+    def record_lag(self, lag: int) -> None:
+        """Updates `max_lag` and `recent_lag` by the wait (ns) of an event or timer."""
+        if lag > self.max_lag:
+            self.max_lag = lag
+        elapsed = self.clock - self.lag_updated_at
+        if lag > self.recent_lag or elapsed >= LAG_FADE_STEP:
+            self.lag_updated_at = self.clock
+            self.recent_lag = max(lag, self.recent_lag - self.recent_lag * min(elapsed, LAG_FADE_TIME) // LAG_FADE_TIME)
+
+    def set_timer(self, at: int, key: tuple) -> None:
+        """Sets a hop's timeout, an alarm of the Router, or another timer of this host."""
+        self.timers.add(at, key)
+        self.timer_was_set = True
+        if at < self.next_timer_at:
+            self.next_timer_at = at
+            if self.timer_thread_asleep:
+                self.wake_timer_thread()
 
     def txn_arrived(self, txn: Txn) -> None:
+        """Passes a new txn to the Router, or makes it wait at the gate."""
         if txn.ident not in self.open_txns.by_id:
-            return  # withdrawn while it waited here
+            return  # withdrawn while this event was queued
         if self.gate is not None:
-            return self.hold(txn)
+            return self.hold_at_gate(txn)
         self.router.txn_arrived(txn.ident, txn.rule_index, txn.obj, txn.part, txn.limit_at - self.clock, txn.kb, txn.group)
 
-    def hold(self, txn: Txn) -> None:
-        until = self.gate.wait_until(self.clock, txn.limit_at, len(self.held))
-        self.held[txn.ident] = txn
-        if until <= self.clock:
-            return self.turn_away(txn.ident)
-        self.at(until, (HELD, txn.ident))
+    def hold_at_gate(self, txn: Txn) -> None:
+        wait_end = self.gate.wait_until(self.clock, txn.limit_at, len(self.gated_txns))
+        self.gated_txns[txn.ident] = txn
+        if wait_end <= self.clock:
+            return self.reject_gated(txn.ident)
+        self.set_timer(wait_end, (GATE_TIMEOUT, txn.ident))
 
-    def turn_away(self, ident: int) -> None:
-        if self.held.pop(ident, None) is not None:
+    def reject_gated(self, ident: int) -> None:
+        """Rejects a txn that waits at the gate, if it still does."""
+        if self.gated_txns.pop(ident, None) is not None:
             self.open_txns.count("held_back")
             self.reject(ident, self.site.router_options["max_retry_after"])
 
-    def close_gate(self, gate, why: str) -> None:
-        """No txn is decided on until `open`; the start's own gate stays where it is."""
+    def close_gate(self, gate, reason: str) -> None:
+        """New txns wait at the gate until `open_gate`. A startup gate that is still closed stays in place."""
         if self.gate is None:
             gate.shut_at = self.clock
             self.gate = gate
-            log.warning("shut", extra={"kv": {"why": why}})
+            log.warning("shut", extra={"kv": {"why": reason}})
 
-    def open_gate(self, why: str) -> None:
-        """The list is what the board holds, or is all there is: txns are decided on from now on."""
+    def open_gate(self, reason: str) -> None:
+        """The server list is up to date, or as good as it gets: passes the waiting txns to the Router."""
         if self.gate is None:
             return
         took = self.clock - self.gate.shut_at
-        self.gate, held, self.held = None, self.held, {}
-        log.info("open", extra={"kv": {"why": why, "took_ms": took // MS, "held": len(held)}})
-        for txn in held.values():
+        self.gate, gated_txns, self.gated_txns = None, self.gated_txns, {}
+        log.info("open", extra={"kv": {"why": reason, "took_ms": took // MS, "held": len(gated_txns)}})
+        for txn in gated_txns.values():
             self.txn_arrived(txn)
 
     def end_open_txns(self) -> None:
-        """The program is killed soon, and a txn that is open by then would get no answer at all."""
+        """Ends all open txns: the program is about to be killed, and a txn that is still open then would get no answer at all."""
         for ident in list(self.open_txns.by_id):
-            if ident in self.held:
-                self.turn_away(ident)
+            if ident in self.gated_txns:
+                self.reject_gated(ident)
             else:
                 self.router.end_now(ident)
 
     def txn_withdrawn(self, ident: int) -> None:
-        self.held.pop(ident, None)
+        """The client waits no longer for the txn."""
+        self.gated_txns.pop(ident, None)
         self.router.txn_withdrawn(ident)
 
     def hop_ended(self, hop: Hop, result: str, took: int, reply: resp.Reply | None) -> None:
+        """Reports the end of a hop or a probe to the Router, with the time that it took (ns)."""
         load = reply.load if reply else None
         self.attempts[result] += 1
         if self.hops.pop((hop.ident, hop.number), None) is not None:
@@ -292,7 +315,7 @@
             return self.router.probe_ended(hop.server, result, took, load)
         final = result == "completed" or hop.ident not in self.open_txns.by_id
         if log.isEnabledFor(logging.DEBUG):
-            self.tell(hop, result, took, reply)
+            self.log_hop_end(hop, result, took, reply)
         self.router.hop_ended(
             hop.ident,
             hop.number,
@@ -304,7 +327,7 @@
             load,
         )
 
-    def tell(self, hop: Hop, result: str, took: int, reply: resp.Reply | None) -> None:
+    def log_hop_end(self, hop: Hop, result: str, took: int, reply: resp.Reply | None) -> None:
         log.debug(
             "hop",
             extra={
@@ -326,80 +349,92 @@
         )
 
     def hop_timed_out(self, ident: int, number: int) -> None:
-        """A timer, not a call of the Router's: its end is told at once, before what else waits here."""
+        """A hop's timeout. Its end is reported at once, before the queued events."""
         hop = self.hops.get((ident, number))
         if hop is not None and self.give_up(hop):
             self.hop_ended(hop, "timed_out" if hop.written_at else "unsent", self.clock - hop.decided_at, None)
 
-    # The board's word goes to Send at once, by the thread that read it, for no hop may be written on older word. The
-    # Router hears of it in its turn: before any hop that Send turns away for it, and after Send knows where new servers are.
+    # Events of discovery. The thread that receives an event applies it to the connection pool at once, because no hop may be written by an
+    # older list. The Router gets it through the queue: before the end of any hop that the pool refuses because of the event, and after the
+    # pool knows the addresses of new servers.
 
-    def list_received(self, change: ListChange, now: bool = False) -> None:
-        rows, site = [], self.site
-        for s in change.servers:
-            if s.zone in site.zones and s.kind in site.kinds:
-                rows.append(s)
+    def list_received(self, change: ListChange, at_start: bool = False) -> None:
+        """Applies a list change; `at_start`: before any thread runs."""
+        servers, site = [], self.site
+        for server in change.servers:
+            if server.zone in site.zones and server.kind in site.kinds:
+                servers.append(server)
             else:
-                log.error("unlisted", extra={"kv": {"server": s.name, "why": "unknown zone or kind"}})
-        for s in rows:
-            if s.state == "up":
-                self.pool.update_endpoint(s.name, s.address, s.state, s.started)
-        if now:
-            self.apply_list(change.complete, rows, live=False)
+                log.error("unlisted", extra={"kv": {"server": server.name, "why": "unknown zone or kind"}})
+        for server in servers:
+            if server.state == "up":
+                self.pool.update_endpoint(server.name, server.address, server.state, server.started)
+        if at_start:
+            self.apply_list(change.complete, servers, live=False)
         else:
-            self.queue.append((self.apply_list, (change.complete, rows), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
-        for s in rows:
-            if s.state != "up":
-                self.pool.update_endpoint(s.name, s.address, s.state, s.started)
+            self.queue.append((self.apply_list, (change.complete, servers), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
+        for server in servers:
+            if server.state != "up":
+                self.pool.update_endpoint(server.name, server.address, server.state, server.started)
         if change.complete:
-            for name in set(self.pool.endpoints) - {s.name for s in change.servers}:
+            for name in set(self.pool.endpoints) - {server.name for server in change.servers}:
                 self.pool.update_endpoint(name, ("", 0), "gone")
         self.pool.refuse_stale_hops()
-        if not self.mine.busy:
+        if not self.thread_state.defers_events:
             self.process_queue()
 
-    def apply_list(self, complete: bool, rows: list, live: bool = True) -> None:
-        fleet, site = self.router.pool, self.site
-        fleet.list_begins(complete)
-        for s in rows:
-            fleet.server_listed(
-                s.name, s.state, self.started(s, live), site.zones.index(s.zone), s.rating, site.kinds.index(s.kind), s.cell
+    def apply_list(self, complete: bool, servers: list, live: bool = True) -> None:
+        """Passes a list change to the Router; `live`: it was received while this process watched."""
+        server_pool, site = self.router.pool, self.site
+        server_pool.list_begins(complete)
+        for server in servers:
+            server_pool.server_listed(
+                server.name,
+                server.state,
+                self.local_start_time(server, live),
+                site.zones.index(server.zone),
+                server.rating,
+                site.kinds.index(server.kind),
+                server.cell,
             )
-        fleet.list_ends()
-
-    def started(self, s, live: bool) -> int:
-        """When a server started, by this process' clock; one that is told again has not started again, whoever set a clock meanwhile."""
-        told, at = self.starts.pop(s.name, UNKNOWN)
-        if s.started != told:
-            fleet = self.router.pool
-            ramp = fleet.slow_start[self.site.kinds.index(s.kind) == fleet.parent_kind][2]
-            at = latest_possible_time(s.started, self.clock, live, ramp) if s.started else 0
-        if s.state != "gone":
-            self.starts[s.name] = s.started, at
-        return at
-
-    def purge_received(self, purge: Purge, now: bool = False) -> None:
-        if now:
+        server_pool.list_ends()
+
+    def local_start_time(self, server, live: bool) -> int:
+        """Returns when a server started, by the program's clock. A server that is listed again with the same start keeps its time, whoever
+        set a clock meanwhile."""
+        listed_start, local_start = self.server_starts.pop(server.name, UNKNOWN_START)
+        if server.started != listed_start:
+            server_pool = self.router.pool
+            slow_start_time = server_pool.slow_start[self.site.kinds.index(server.kind) == server_pool.parent_kind][2]
+            local_start = latest_possible_time(server.started, self.clock, live, slow_start_time) if server.started else 0
+        if server.state != "gone":
+            self.server_starts[server.name] = server.started, local_start
+        return local_start
+
+    def purge_received(self, purge: Purge, at_start: bool = False) -> None:
+        """Applies a purge; `at_start`: before any thread runs."""
+        if at_start:
             return self.apply_purge(purge, live=False)
         self.queue.append((self.apply_purge, (purge,), time.monotonic_ns() + MONOTONIC_TO_UNIX_NS))
         self.pool.purge_received(purge.obj, purge.group)
-        if not self.mine.busy:
+        if not self.thread_state.defers_events:
             self.process_queue()
 
     def apply_purge(self, purge: Purge, live: bool = True) -> None:
-        self.purges += 1
+        """Passes a purge to the Router; `live`: it was received while this process watched."""
+        self.purge_count += 1
         self.router.purged(purge.obj, purge.group, self.clock - latest_possible_time(purge.at, self.clock, live))
 
-    # The host interface.
+    # The host interface, see host.Host.
 
     def now(self) -> int:
         return self.clock
 
     def send_hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by) -> None:
         txn = self.open_txns.by_id.get(ident)
-        if txn is None:  # withdrawn a moment ago
+        if txn is None:  # it was withdrawn a moment ago, and the Router does not know that yet
             hop = Hop(ident, self.router.txns[ident].hops[-1].number, "", server, source, None, self.clock)
-            return self.post(self.unsent, hop)
+            return self.post(self.report_unsent, hop)
         source = None if source == server else source
         want = resp.Want(
             txn.name,
@@ -427,15 +462,16 @@
             self.clock,
             cut_at,
             txn.group,
-            NEVER if self.site.rules[txn.rule_index].uncacheable else self.purges,
+            NEVER if self.site.rules[txn.rule_index].uncacheable else self.purge_count,
             go_by,
-            self.starts.get(server, UNKNOWN)[0],
-            self.starts.get(source, UNKNOWN)[0],
+            self.server_starts.get(server, UNKNOWN_START)[0],
+            self.server_starts.get(source, UNKNOWN_START)[0],
         )
         txn.hop_count += 1
         self.start_hop(hop)
 
-    def unsent(self, hop: Hop) -> None:
+    def report_unsent(self, hop: Hop) -> None:
+        """Reports to the Router that a hop ended before it was written."""
         self.router.hop_ended(hop.ident, hop.number, "unsent", 0, True, 0, None, None)
 
     def cancel(self, ident, number) -> None:
@@ -444,18 +480,20 @@
             self.pool.report_end(hop, "cancelled" if hop.written_at else "unsent")
 
     def give_up(self, hop: Hop) -> bool:
-        mine = self.pool.give_up(hop, self.clock)
-        if mine and hop.connection is not None:
+        """Stops waiting for the hop. Returns True if the caller has to report its end."""
+        must_report = self.pool.give_up(hop, self.clock)
+        if must_report and hop.connection is not None:
             self.outbox.append((hop.connection, None, None))
-        return mine
+        return must_report
 
     def start_hop(self, hop: Hop) -> None:
+        """Queues a hop or a probe on a connection and sets its timeout."""
         key = hop.ident, hop.number
         self.hops[key] = hop
-        self.at(hop.cut_at, key)
-        lane = self.pool.enqueue(hop)
-        if lane is not None:
-            self.outbox.append((lane, None, None))
+        self.set_timer(hop.cut_at, key)
+        connection = self.pool.enqueue(hop)
+        if connection is not None:
+            self.outbox.append((connection, None, None))
 
     def reject(self, ident, come_back) -> None:
         self.answer(ident, Answer("rejected", come_back // MS))
@@ -464,7 +502,8 @@
         self.answer(ident, Answer("aborted"))
 
     def answer(self, ident: int, answer: Answer) -> None:
-        self.answer_sender.undelivered.add((ident, BY_ROUTER))
+        """Takes a txn out of the open ones and queues its final answer to be sent, unless it has ended already."""
+        self.answer_sender.undelivered.add((ident, ROUTER_ANSWER))
         txn = self.open_txns.settle(ident, answer)
         if txn is not None:
             if log.isEnabledFor(logging.DEBUG):
@@ -481,17 +520,17 @@
                 )
             self.outbox.append((None, txn, answer))
         else:
-            self.answer_sender.undelivered.discard((ident, BY_ROUTER))
+            self.answer_sender.undelivered.discard((ident, ROUTER_ANSWER))
 
     def set_alarm(self, label, at) -> None:
         self.alarms[label] = at
-        self.at(at, (ALARM, label))
+        self.set_timer(at, (ALARM, label))
 
     def cancel_alarm(self, label) -> None:
         self.timers.cancel(self.alarms.pop(label, 0), (ALARM, label))
 
     def probe(self, server) -> None:
-        number = next(self.order)
+        number = next(self.probe_numbers)
         self.start_hop(
             Hop(
                 PROBE,
@@ -502,7 +541,7 @@
                 None,
                 self.clock,
                 self.clock + self.site.connect_timeout,
-                server_start=self.starts.get(server, UNKNOWN)[0],
+                server_start=self.server_starts.get(server, UNKNOWN_START)[0],
             )
         )
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -323,7 +323,7 @@
 def route_to(cache):
     send = sender(cache.address)
     route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
-    route.list_received(ListChange(True, (row(cache, "up"),)), now=True)
+    route.list_received(ListChange(True, (row(cache, "up"),)), at_start=True)
     return send, route
 
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -355,7 +355,7 @@
     send.enqueue = hop_out
     client_writer, streams, withdrawn = Taking(), {}, set()
     rows = tuple(ListedServer(f"c{n}", ("127.0.0.1", 1), "east", "std", 0, "up", 500.0, 0) for n in range(3))
-    route.list_received(ListChange(True, rows), now=True)
+    route.list_received(ListChange(True, rows), at_start=True)
     count_of = 5_000
 
     def end(ident):
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -674,7 +674,7 @@
     pool = sender(silent_server.address)
     route = RouterHost(pool.site, 1, pool.open_txns, pool.answer_sender, pool)
     listed_server = ListedServer("c0", pool.endpoints["c0"].address, "east", "std", 0, "up", 50.0, 0)
-    route.list_received(ListChange(True, (listed_server,)), now=True)
+    route.list_received(ListChange(True, (listed_server,)), at_start=True)
     client_writer = ClientWriter(router_sock, encode, route.answer_sender)
     client_writer.streams[1] = 1
     taken_at = clock()
