--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -1,7 +1,7 @@
-"""All decisions of fieldspur: which cache serves a txn, what fills a miss, who waits, what is given up.
+"""All routing decisions of fieldspur: which cache serves a txn, what fills a miss, which txns wait, and which txns are given up.
 
-A program builds a Router for each instance and calls one method for each thing that happens, the Fleet's for
-the server list; the Router acts by calling its host (fieldspur/host.py) at once. docs/design.md has the why.
+The program builds one Router for each instance and calls one method for each event. Events of the server list go to its
+ServerPool. The Router acts at once, by calling its host (fieldspur/host.py). docs/design.md explains the reasons.
 """
 
 from __future__ import annotations
@@ -25,193 +25,256 @@
     Host,
     RemapRule,
 )
-from .permissions import GiveUp, last_repeat, may_promise_no_effect, repeat_refusal
+from .permissions import GiveUp, may_promise_no_effect, repeat_deadline, repeat_refusal
 from .record import default_factory, record
 
 try:
-    from _blake2 import blake2b  # a start of its own does not load all that `hashlib` brings
+    from _blake2 import blake2b  # importing `hashlib` would load more modules than a start needs
 except ImportError:
     from hashlib import blake2b
 
-MS, SECOND = 1_000_000, 1_000_000_000
-FILLS, LOST = (FILLED, FILLED_BY_ORIGIN), ("broken", "unsent", "unreachable")  # LOST: with a connection
-
-OUTER_WAIT, MOST_WAITERS = 3 * SECOND, 64  # the source's lock time-out bounds any wait; list of one part
-KEPT_RANK, ORDERS_MOST, OBJECT_HOMES = 2, 4096, 0.25  # above the lowest; kept; share that homes objects whole
-COLD_USE = 0.45  # share of a cold server's budget that all routers together are to use in a span
-LEAST_RATE = 0.03  # transfers a second that a cold server may take where nothing tells its size
-SPILL, SPILL_NEAR, SPILL_GAIN = 2.0, 1.3, 0.6  # crowd at which home spreads (NEAR: supplies it)
-CROWD_LEAST, CROWD_MOST = 1.25, 2.1  # admission: hops over what fits, for a txn of little worth; most on top
-FITS_FIRST, FITS_STEP, LANES = 4.0, 0.1, 4  # transfers that fit, a step; connections where they break
-FILL_LATE, DUE_WAIT, LOOK_GAP = 0.8, 100 * MS, MS // 4  # a late hop is a fill; its usual wait; looks by hop
-LINK_SHARE, LINK_FIRST = 0.7, 0.5  # most crowd on the way in over a cache's; what fits there, where not told
-FAIL_STEP, FAIL_LIMIT, FAIL_TIMES, PROOF = 0.1, 0.5, 2.0, 0.6  # a result; what ejects; a death counts more
-LATE_FILLS, MISSED_FILLS = 2, 5  # a source is slow or silent: so many late, and so many more from its peers
-ORIGIN_STEP, ORIGIN_LIMIT = 0.2, 0.35  # the same for the origin: above this it counts as failing,
-ORIGIN_TRY, SLOW_TIMES = 0.2, 3.0  # ... and so few fills may ask it at the least; late: times its usual wait
-EJECT_FIRST, EJECT_MOST = 1 * SECOND, 8 * SECOND  # ejection, doubling each time
-QUIET_LEAST, QUIET_TIMES, ALONE, TAIL = 300 * MS, 1.5, 2.0, 6.0  # silence; times due; one hop's; spreads
-LARGE_SPREADS = 2.0  # mean deviations above the mean: about where the largest tenth begins
-QUIET_FEW, LATE_LEARN = 12.0, 0.2  # times due, over the hops that say so; weight of a late fill
-RETRY_SHARE, RETRY_MOST, ERRORS_MOST = 0.3, 20.0, 3  # further hops a txn; saved up; errors that end a txn
-SEEN_SPAN, TOLD_SPAN, BUSY = 4 * SECOND, 1500 * MS, 0.85  # how long crowding seen counts; told; a busy cache
-CROWD_STEP, PACE_STEP = 0.15, 0.4  # weight of one cache's crowd in the usual one, of one hit's in a cache's
-FILL_PACE, PROBE_GAP, SEEN_LAG = 2.5, 400 * MS, 1.15  # a fill's pace over a client's; probes; seen late
-FIRST_WORK, FIRST_BYTE, LEARN = 400 * MS, 80 * MS, 0.05  # before any is learned; weight of one sample
-KEPT_PART, PART_STEP = 0.8, 0.1  # what a rule's largest keep of its answered part at the least; one sample
-MOST_PURGES = 50_000  # that are known one by one
+# Durations and times are whole nanoseconds.
+MS = 1_000_000
+SECOND = 1_000_000_000
 NEVER = 1 << 62
 
+FILL_NOTES = (FILLED, FILLED_BY_ORIGIN)
+CONNECTION_FAILURES = ("broken", "unsent", "unreachable")  # results of hops that failed with their connection
+
+# Waiting behind a leader.
+MAX_WAIT = 3 * SECOND  # the lock timeout of the source limits any wait
+MAX_WAITERS = 64  # for one part of an object
+
+# Placement.
+CACHEABLE_RANK = 2  # rank of fills that leave a copy, above the lowest rank
+MAX_RANKINGS = 4096  # rendezvous rankings that are stored
+MIN_SHARE_FOR_OBJECT_HOMES = 0.25  # a router with a smaller share of its zone gives each part of an object its own home
+SPILL_UTILIZATION = 2.0  # utilization at which a home cache hands parts to other caches
+SPILL_UTILIZATION_FROM_HOME = 1.3  # the same where the other caches fill from the home cache
+SPILL_MAX_RATIO = 0.6  # a part moves only to a cache with at most this share of the home's utilization
+STALE_UTILIZATION_FACTOR = 1.15  # raises an observed utilization, which is seen with a delay
+
+# Slow start.
+SLOW_START_BUDGET_SHARE = 0.45  # share of the budget of a server in slow start that all routers together use in a window
+MIN_SLOW_START_RATE = 0.03  # transfers a second to a server in slow start where nothing tells its size
+
+# Admission.
+MIN_ADMITTED_UTILIZATION = 1.25  # utilization up to which any txn is admitted
+MAX_WORTH_UTILIZATION = 2.1  # the most that the worth of a txn adds to that
+LARGE_TXN_DEVIATIONS = 2.0  # mean deviations above the mean: about where the largest tenth of txns begins
+MIN_ANSWERED_RATIO = 0.8  # least answered share of the largest txns of a rule, as a multiple of the share of all its txns
+SIZE_BAND_STEP = 0.1  # weight of one sample in the answered share of the largest txns
+
+# Load of servers and of the link into the zone.
+INITIAL_CAPACITY = 4.0  # transfers at full pace that a server is assumed to take
+CAPACITY_STEP = 0.1  # weight of one sample
+MAX_CONNECTIONS_WHILE_BREAKING = 4
+LATE_HOP_FILL_PROBABILITY = 0.8  # a hop that takes longer than a hit is probably being filled
+USUAL_FILL_WAIT = 100 * MS
+RECOUNT_INTERVAL = MS // 4  # between two counts of fills, for each hop in flight
+MAX_LINK_UTILIZATION_RATIO = 0.7  # fills stop at this multiple of the utilization that a cache is admitted up to
+INITIAL_LINK_SHARE = 0.5  # fills that the link takes over transfers that the caches take, where settings do not say
+UTILIZATION_DECAY = 4 * SECOND  # time constant with which observed utilization is forgotten
+LINK_REPORT_LIFETIME = 1500 * MS
+BUSY_UTILIZATION = 0.85  # reported utilization above which the report says little: it can't exceed 1
+MEAN_UTILIZATION_STEP = 0.15  # weight of one cache's utilization in the mean of all caches
+UTILIZATION_STEP = 0.4  # weight of one hit's pace in the utilization of its cache
+FILL_PACE = 2.5  # pace of a fill, as a multiple of a client's
+PROBE_INTERVAL = 400 * MS
+
+# Ejection of failing servers.
+ERROR_STEP = 0.1  # weight of one result in the error rate
+CONCLUSIVE_ERROR_STEP = 0.6  # weight of a result that proves that the server is down
+EJECT_ERROR_RATE = 0.5
+EJECT_PEER_MULTIPLE = 2.0  # a server is ejected only with this multiple of its peers' median error rate
+FIRST_EJECTION = 1 * SECOND  # doubles with each further ejection
+MAX_EJECTION = 8 * SECOND
+
+# Silence of servers and sources.
+MIN_SILENCE = 300 * MS
+SILENCE_MULTIPLE = 1.5  # of the expected time
+FEW_HOPS_SILENCE_MULTIPLE = 12.0  # of the expected time, divided by the hops in flight, for a router that sees little traffic
+ONLY_HOP_MULTIPLE = 2.0  # a single hop in flight may stay silent for longer
+UNSIZED_DEVIATIONS = 6.0  # mean deviations of the transfer time that are allowed where sizes are unknown
+LATE_FILL_STEP = 0.2  # weight of a late fill in the mean wait for a first byte
+MIN_LATE_FILLS = 2  # a source is ejected for silence only with so many late fills
+MIN_MISSED_FILLS = 5  # and only after so many fills from its peers came meanwhile
+
+# The origin.
+ORIGIN_ERROR_STEP = 0.2  # weight of one result
+ORIGIN_FAILING_RATE = 0.35  # error rate from which the origin counts as failing
+MIN_ORIGIN_TRY_SHARE = 0.2  # least share of fills that may ask a failing origin
+SLOW_ORIGIN_MULTIPLE = 3.0  # of its usual wait
+
+# Retries.
+RETRIES_PER_TXN = 0.3
+MAX_SAVED_RETRIES = 20.0
+MAX_ERRORS_PER_TXN = 3
+
+# Learned averages.
+INITIAL_TRANSFER_TIME = 400 * MS
+INITIAL_FIRST_BYTE_WAIT = 80 * MS
+LEARNING_STEP = 0.05  # weight of one sample
+
+MAX_PURGES = 50_000  # that are stored one by one
+
 
 @record(eq=False)
 class Server:
-    """All that is known about one cache, parent or the origin."""
+    """State of one cache, one parent or the origin, as this router knows it."""
 
     name: str
-    seal: object  # the hash of its name, into which keys go
+    name_hash: object  # keyed hash of the name; copies of it hash object keys
     state: str = "gone"
-    started: int = 0
+    started: int = 0  # start of the server's process, 0 where it is unknown
     zone: int = 0
     rating: float = 1.0
     kind: int = 0
     cell: int = 0
-    in_flight: dict = default_factory(dict)  # hops out there, oldest first
-    sourced_hops: dict = default_factory(dict)  # hops out elsewhere that name it as their source
-    fills: tuple = (0.0, 0)  # how many of `out` are being filled; when it last looked through them
-    capacity: float = FITS_FIRST  # how many of this router's transfers run there at full pace
-    transfer_rate: tuple = (0.0, 0)  # sending time a second that it lately did for this router, as of when
-    broke: int = 0  # when a connection to it last broke under hops
-    heard: int = 0  # when it last answered anything, or a fill from it came
-    missed: int = 0  # fills that came from its peers since, halved at each of its own
-    fails: float = 0.0
-    ejected_until: int = 0  # 0: in service; past: one hop at a time until it has proved itself
+    in_flight: dict = default_factory(dict)  # hops to this server, oldest first
+    sourced_hops: dict = default_factory(dict)  # hops to other servers that name this one as their source
+    fill_estimate: tuple = (0.0, 0)  # how many hops in flight are being filled, and when that was last recounted
+    capacity: float = INITIAL_CAPACITY  # how many of this router's transfers run at full pace
+    transfer_rate: tuple = (0.0, 0)  # transfer time a second that was recently served to this router, as of a time
+    connection_broke_at: int = 0  # when a connection to the server last broke while it carried hops
+    last_answer_at: int = 0  # of any kind, or the last fill that came from it
+    missed_fills: int = 0  # fills that came from its peers since; each fill of its own halves the count
+    error_rate: float = 0.0
+    ejected_until: int = 0  # 0: in service; in the past: one hop at a time until a result clears the server
     ejections: int = 0
-    crowd: tuple = (0.0, 0)  # transfers of all routers over those that fit, as told or as hits' pace shows
-    tokens: float = 0.0  # what is left of this router's part of a cold server's budget
-    tokens_for: int = -1  # ... in this span since its start
+    utilization: tuple = (0.0, 0)  # transfers of all routers over the capacity, as reported or observed, as of a time
+    tokens: float = 0.0  # rest of this router's part of the slow start budget
+    token_window: int = -1  # number of the budget window, counted from the server's start, that `tokens` belongs to
 
 
 @record(eq=False)
 class Hop:
-    txn: int  # by number: one that points to its txn makes a cycle, and long pauses to find it
+    """One attempt of a txn at a server."""
+
+    txn_ident: int  # not the Txn itself: a reference cycle would cause long pauses of the garbage collector
     number: int
     server: Server
     source: Server | None
-    sent: int
-    work: int
-    beside: int  # hops out there when it was sent
-    filling: float  # how likely it is to be filled
-    charged: float  # what the source's cold budget was charged
-    fetch: bool  # the source may ask the origin
+    sent: int  # time
+    transfer_time: int
+    others_in_flight: int  # hops in flight at the server when this one was sent
+    fill_probability: float
+    source_charge: float  # what was taken from the slow start budget of the source
+    fetch: bool  # whether the source may ask the origin
     in_flight: bool = True
-    ran: bool = True  # may have run
-    dropped: bool = False  # cancelled by this router
-    erred: bool = False  # speaks against its server and source if another serves the txn
-    alone: bool = False  # its fill may hang: the next hop does not join it
-    counted: float = 0.0  # `filling` as it stands in the server's `fills`
-    due: int = 0  # label of the alarm that asks after it
+    may_have_run: bool = True
+    cancelled: bool = False  # by this router
+    returned_error: bool = False  # counts against its server and source if another hop completes the txn
+    fill_may_hang: bool = False  # the next hop does not join this hop's fill
+    counted_fill: float = 0.0  # what the server's `fill_estimate` contains for this hop
+    alarm_label: int = 0  # of the alarm that checks for silence
 
 
 @record(eq=False)
 class Txn:
+    """A client's request until its final answer is given and its last hop has ended."""
+
     ident: int
     rule: RemapRule
-    rule_at: int
+    rule_index: int
     obj: str
     part: int
-    group: int
-    work: int
-    sized: bool
-    limit_at: int
+    group: int  # purge group
+    transfer_time: int
+    size_known: bool
+    deadline: int
     hops: list = default_factory(list)
-    leads: bool = False
-    waits: bool = False
+    is_leader: bool = False
+    is_waiting: bool = False
     ended: bool = False
-    hopeless: bool = False  # it would have to be filled, and may not
-    past_fresh: bool = False  # a copy within its grace will do
-    avoid: set = default_factory(set)  # servers that failed it
+    unfillable: bool = False  # it needs a fill that is not allowed
+    stale_copy_ok: bool = False  # a copy within its grace time will do
+    failed_servers: set = default_factory(set)  # names
 
 
 BY_NAME = attrgetter("name")
-RANK = attrgetter("name", "rating", "kind", "zone")  # what the order of servers for a key depends on
+RANKING_INPUTS = attrgetter("name", "rating", "kind", "zone")  # attributes that the ranking of servers depends on
 
 
-def middle(values: list[float]) -> float:
-    """The median."""
+def median(values: list[float]) -> float:
     values = sorted(values)
     return (values[(len(values) - 1) // 2] + values[len(values) // 2]) / 2
 
 
 class Purges:
-    """Times of the purges that still bind, by object and by group, as they were told: those told first are forgotten first. A purge binds
-    for twice `span` (ns). Beyond MOST_PURGES the oldest bind all objects, so that copies are asked for anew too often, never too seldom."""
+    """Times of the purges that are still in force, by object and by group, in the order in which they were reported; the oldest reports
+    are dropped first. A purge is in force for twice `lifetime` (ns). Beyond MAX_PURGES the oldest purges apply to all objects, so
+    that copies are refreshed too often rather than too seldom."""
 
-    def __init__(self, span: int):
-        self.span = span
-        self.made: OrderedDict[tuple, int] = OrderedDict()  # by object or group
-        self.of_all = 0  # when the latest of those was made that bind all objects
+    def __init__(self, lifetime: int):
+        self.lifetime = lifetime
+        self.purged_at: OrderedDict[tuple, int] = OrderedDict()  # by object or group
+        self.all_purged_at = 0  # time of the latest purge that applies to all objects
 
     def add(self, now: int, obj, group: int, age: int) -> None:
-        """Amortized constant time: each purge is forgotten once."""
+        """Store a purge that was issued `age` ns ago. Amortized constant time: each purge is dropped once."""
         key = (obj, 0) if obj is not None else (None, group)
-        self.made[key] = max(now - age, self.made.pop(key, 0))
-        while self.made:
-            oldest = next(iter(self.made))
-            binds = now - self.made[oldest] <= 2 * self.span
-            if binds and len(self.made) <= MOST_PURGES:
+        self.purged_at[key] = max(now - age, self.purged_at.pop(key, 0))
+        while self.purged_at:
+            oldest = next(iter(self.purged_at))
+            in_force = now - self.purged_at[oldest] <= 2 * self.lifetime
+            if in_force and len(self.purged_at) <= MAX_PURGES:
                 return
-            made = self.made.pop(oldest)
-            if binds:
-                self.of_all = max(self.of_all, made)
+            purged_at = self.purged_at.pop(oldest)
+            if in_force:
+                self.all_purged_at = max(self.all_purged_at, purged_at)
 
-    def oldest_copy(self, now: int, obj, group: int, fresh: int) -> int:
-        """The oldest copy that will do, never 0 where a purge binds (0 leaves it to the rule)."""
-        if not (self.made or self.of_all):
+    def max_copy_age(self, now: int, obj, group: int, fresh_time: int) -> int:
+        """Maximum age of a usable copy. Never 0 where a purge is in force, because 0 leaves the age to the rule."""
+        if not (self.purged_at or self.all_purged_at):
             return 0
-        made = max(self.made.get((obj, 0), 0), self.made.get((None, group), 0), self.of_all)
-        return min(max(1000, now - made), fresh or now) if made and now - made <= 2 * self.span else 0
+        purged_at = max(self.purged_at.get((obj, 0), 0), self.purged_at.get((None, group), 0), self.all_purged_at)
+        return min(max(1000, now - purged_at), fresh_time or now) if purged_at and now - purged_at <= 2 * self.lifetime else 0
 
 
 @record(eq=False)
-class Sizes:
-    """One rule's largest txns, a tenth and the next fifth, and what part of each, and of all, is answered."""
+class SizeBands:
+    """Answered shares of one rule's txns: of the largest tenth, of the next fifth, and of all."""
 
-    tenth: float = 0.0  # sending time at which the largest tenth begins
-    third: float = 0.0  # the same for the largest three tenths
-    answered: list = default_factory(lambda: [1.0, 1.0, 1.0])  # of the tenth, of the fifth, of all
-    lately: bool = False  # some were given up, so it is counted
+    largest_tenth_from: float = 0.0  # transfer time at which the largest tenth begins
+    largest_third_from: float = 0.0  # transfer time at which the largest three tenths begin
+    answered_shares: list = default_factory(lambda: [1.0, 1.0, 1.0])  # of the largest tenth, of the next fifth, of all
+    gave_up_recently: bool = False  # while it is set, completed txns are counted too
 
-    def band(self, work: int) -> int:
-        return 0 if work >= self.tenth else 1 if work >= self.third else 2
+    def band(self, transfer_time: int) -> int:
+        return 0 if transfer_time >= self.largest_tenth_from else 1 if transfer_time >= self.largest_third_from else 2
 
-    def ended(self, work: int, well: bool) -> None:
-        band = self.band(work)
+    def count_end(self, transfer_time: int, completed: bool) -> None:
+        band = self.band(transfer_time)
         if band < 2:
-            self.answered[band] += (well - self.answered[band]) * PART_STEP
-        self.answered[2] += (well - self.answered[2]) * LEARN
-        self.lately = min(self.answered) < 0.99
+            self.answered_shares[band] += (completed - self.answered_shares[band]) * SIZE_BAND_STEP
+        self.answered_shares[2] += (completed - self.answered_shares[2]) * LEARNING_STEP
+        self.gave_up_recently = min(self.answered_shares) < 0.99
 
-    def short(self, work: int) -> bool:
-        """Guards the largest against being all that pays when there is too little for all."""
-        return self.answered[self.band(work)] < KEPT_PART * self.answered[2]
+    def is_underserved(self, transfer_time: int) -> bool:
+        """Whether txns of this size are answered too seldom. Guards the largest txns against being the only ones that are given up
+        under overload."""
+        return self.answered_shares[self.band(transfer_time)] < MIN_ANSWERED_RATIO * self.answered_shares[2]
 
 
 @record()
 class Flight:
+    """One fill (single flight): the txn that leads it and the txns that wait for its first byte."""
+
     leader: Txn
-    since: int
+    started_at: int
     waiters: dict = default_factory(dict)
 
 
 class Collapsing:
-    """Leaders and waiting lists by object and part."""
+    """Flights by object and part."""
 
     def __init__(self):
         self.flights: dict[tuple, Flight] = {}
 
 
 class ServerPool:
-    """The listed servers: their states, health, loads and cold budgets."""
+    """The listed servers: their states, health, loads and slow start budgets."""
 
     def __init__(
         self,
@@ -227,255 +290,303 @@
         link_capacity: float,
         siblings: bool,
     ):
+        """`cache_share` and `parent_share`: this router's share of the traffic to a cache and to a parent. The `_slow_start` tuples: the
+        share of its capacity that a server starts with, how long it ramps up (ns), and the overload multiple that it tolerates.
+        `siblings`: whether a cache may fill from another cache."""
         self.zone, self.parent_kind, self.origin_kind = zone, parent_kind, origin_kind
-        self.size_trust = 1.0 if rating_quality == "nominal" else 0.0
+        self.rating_trust = 1.0 if rating_quality == "nominal" else 0.0
         self.slow_start = {False: (cache_share, *cache_slow_start), True: (parent_share, *parent_slow_start)}
         self.budget_window, self.siblings = budget_window, siblings
-        self.began = 0  # when this process did, by the Router
-        self.share, self.random, self.log = cache_share, random.Random(0), print  # the Router's own
-        self.link_fits = link_capacity * cache_share  # fills that this router's share of the way in takes at full pace
-        self.link_told, self.link_told_at, self.crowd, self.crowd_at = 0.0, 0, 0.0, 0  # of all routers, here
-        self.orders: dict[tuple, list[Server]] = {}  # rendezvous orders of this list
-        self.ranks: list[tuple] = []  # what they depend on
-        self.miss_share, self.fill_wait, self.origin_wait = 0.5, 0.0, 0.0  # of leaders, of fills; usual
+        self.process_started = 0  # start of this process; set by the Router
+        self.cache_share, self.random, self.log = cache_share, random.Random(0), print  # the Router replaces `random` and `log`
+        self.own_link_capacity = link_capacity * cache_share  # fills at full pace in this router's share of the link into the zone
+        # Utilization of the link as reported, and the mean utilization of the zone's caches, each with its time.
+        self.link_report, self.link_report_at, self.mean_utilization, self.mean_utilization_at = 0.0, 0, 0.0, 0
+        self.rankings: dict[tuple, list[Server]] = {}  # rendezvous rankings of the present servers
+        self.ranking_inputs: list[tuple] = []  # what `rankings` depends on
+        # Share of leaders that miss, share of a fill's time spent waiting, usual wait for the origin.
+        self.miss_share, self.fill_wait_share, self.usual_origin_wait = 0.5, 0.0, 0.0
         self.servers: dict[str, Server] = {}
-        self.fills, self.fills_at = 0.0, 0  # of all caches here, and when all were last looked through
-        self.caches, self.parents, self.origin, self.listed = [], [], None, None  # as listed
+        self.zone_fills, self.zone_fills_at = 0.0, 0  # estimated fills of all caches, and when that was last recounted
+        self.caches, self.parents, self.origin, self.listed_names = [], [], None, None  # of the latest server list
 
     def list_begins(self, complete: bool) -> None:
-        self.listed = set() if complete else None
+        self.listed_names = set() if complete else None
 
     def server_listed(self, name, state, started, zone, rating, kind, cell) -> None:
-        s = self.servers.get(name)
-        if s is None:
-            seal = blake2b(key=name.encode()[:64], digest_size=8)
-            s = self.servers[name] = Server(name, seal, capacity=FITS_FIRST * self.share)
-        if started != s.started:  # a new process: empty, cold, and nothing held against it
-            s.fails, s.ejected_until, s.ejections, s.tokens_for, s.crowd = 0.0, 0, 0, -1, (0.0, 0)
-        if self.size_trust and (rating != s.rating or started != s.started or s.state == "gone"):
-            s.capacity = rating * self.share
-        s.state, s.started, s.zone, s.rating, s.kind, s.cell = state, started, zone, rating, kind, cell
-        if self.listed is not None:
-            self.listed.add(name)
+        server = self.servers.get(name)
+        if server is None:
+            name_hash = blake2b(key=name.encode()[:64], digest_size=8)
+            server = self.servers[name] = Server(name, name_hash, capacity=INITIAL_CAPACITY * self.cache_share)
+        if started != server.started:  # a new process begins with an empty cache, in slow start, and without a failure record
+            server.error_rate, server.ejected_until, server.ejections, server.token_window, server.utilization = 0.0, 0, 0, -1, (0.0, 0)
+        if self.rating_trust and (rating != server.rating or started != server.started or server.state == "gone"):
+            server.capacity = rating * self.cache_share
+        server.state, server.started, server.zone, server.rating, server.kind, server.cell = state, started, zone, rating, kind, cell
+        if self.listed_names is not None:
+            self.listed_names.add(name)
 
     def list_ends(self) -> None:
-        if self.listed is not None:
-            for s in self.servers.values():
-                if s.name not in self.listed:
-                    s.state = "gone"  # absence from a complete list is a removal
-        if not self.link_fits:  # not told: a first guess, learned from there
-            self.link_fits = LINK_FIRST * sum(s.capacity for s in self.servers.values() if s.zone == self.zone)
-        here = sorted([s for s in self.servers.values() if s.state != "gone"], key=BY_NAME)
-        if len(here) < len(self.servers):
-            self.servers = {n: s for n, s in self.servers.items() if s.state != "gone" or s.in_flight or s.sourced_hops}
-        ranks = list(map(RANK, here))
-        if ranks == self.ranks:  # states and restarts leave the orders as they are
+        if self.listed_names is not None:
+            for server in self.servers.values():
+                if server.name not in self.listed_names:
+                    server.state = "gone"  # a server missing from a complete list has been removed
+        if not self.own_link_capacity:  # the settings do not say: start from a guess
+            self.own_link_capacity = INITIAL_LINK_SHARE * sum(
+                server.capacity for server in self.servers.values() if server.zone == self.zone
+            )
+        present = sorted([server for server in self.servers.values() if server.state != "gone"], key=BY_NAME)
+        if len(present) < len(self.servers):
+            self.servers = {
+                name: server for name, server in self.servers.items() if server.state != "gone" or server.in_flight or server.sourced_hops
+            }
+        ranking_inputs = list(map(RANKING_INPUTS, present))
+        if ranking_inputs == self.ranking_inputs:  # changed states and restarts do not change the rankings
             return
-        self.ranks = ranks
-        self.orders.clear()
-        self.parents = [s for s in here if s.kind == self.parent_kind]
-        self.origin = next((s for s in here if s.kind == self.origin_kind), None)
-        self.caches = [s for s in here if s.zone == self.zone and s.kind != self.parent_kind and s is not self.origin]
-
-    def ranked(self, servers: list[Server], key: str) -> list[Server]:
-        """Weighted rendezvous hashing of caches or parents, alike at all routers; health does not enter."""
-
-        def score(s: Server) -> float:
-            word = s.seal.copy()
-            word.update(text)
-            size = max(s.rating, 0.01) if self.size_trust else 1.0
-            return math.log((int.from_bytes(word.digest(), "big") + 1) / 2.0**64) / size
+        self.ranking_inputs = ranking_inputs
+        self.rankings.clear()
+        self.parents = [server for server in present if server.kind == self.parent_kind]
+        self.origin = next((server for server in present if server.kind == self.origin_kind), None)
+        self.caches = [
+            server for server in present if server.zone == self.zone and server.kind != self.parent_kind and server is not self.origin
+        ]
+
+    def rank_servers(self, servers: list[Server], key: str) -> list[Server]:
+        """Weighted rendezvous hashing of caches or parents. All routers get the same ranking, because health does not affect it."""
+
+        def score(server: Server) -> float:
+            key_hash = server.name_hash.copy()
+            key_hash.update(key_bytes)
+            size = max(server.rating, 0.01) if self.rating_trust else 1.0
+            return math.log((int.from_bytes(key_hash.digest(), "big") + 1) / 2.0**64) / size
 
         if len(servers) < 2:
             return servers
-        at = (key, servers is self.parents)
-        found = self.orders.get(at)
-        if found is None:
-            if len(self.orders) >= ORDERS_MOST:
-                self.orders.clear()  # one by one, oldest first, costs more than ranking anew
-            text = key.encode()
-            found = self.orders[at] = sorted(servers, key=score, reverse=True)
-        return found
-
-    def order(self, obj, part) -> list[Server]:
-        """The home cache and those after it; by part where a router sees too little of an object's crowd."""
-        return self.ranked(self.caches, obj if self.share >= OBJECT_HOMES else f"{obj}#{part}")
-
-    def carried(self, s: Server, work: float, now: int) -> None:
-        s.transfer_rate = (self.transfer_rate(s, now) + work / (5 * SECOND), now)
-
-    def transfer_rate(self, s: Server, now: int) -> float:
-        return s.transfer_rate[0] * math.exp((s.transfer_rate[1] - now) / (5 * SECOND))
-
-    def in_slow_start(self, s: Server, now: int) -> bool:
-        return bool(s.started) and now - s.started < self.slow_start[s.kind == self.parent_kind][2]
-
-    def span_ends(self, s: Server, now: int) -> int:
-        """A hop to a cold server goes out in the span that it was charged to, or, over a late dial, in the
-        first half of the next: one taken back is charged again, and many are where dials are late."""
-        spans = max(0, now - s.started) // self.budget_window + 1.5
-        return s.started + int(spans * self.budget_window)
-
-    def has_budget(self, s: Server, now: int, charge: float) -> bool:
-        """Guards a freshly started server: this router's part of what all may send it in each span. A part
-        smaller than one txn is rounded by chance, so that many routers together come out at the budget. A
-        span that began before this process did is not spent again: the one before it may have done so."""
-        if not self.in_slow_start(s, now) or s.kind == self.origin_kind:
+        ranking_key = (key, servers is self.parents)
+        ranking = self.rankings.get(ranking_key)
+        if ranking is None:
+            if len(self.rankings) >= MAX_RANKINGS:
+                self.rankings.clear()  # evicting one by one costs more than ranking again
+            key_bytes = key.encode()
+            ranking = self.rankings[ranking_key] = sorted(servers, key=score, reverse=True)
+        return ranking
+
+    def rank_caches(self, obj, part) -> list[Server]:
+        """The home cache of an object and the caches after it. Each part has its own home where a router sees too little of an object's
+        traffic to know whether its home is overloaded."""
+        return self.rank_servers(self.caches, obj if self.cache_share >= MIN_SHARE_FOR_OBJECT_HOMES else f"{obj}#{part}")
+
+    def count_transfer(self, server: Server, transfer_time: float, now: int) -> None:
+        server.transfer_rate = (self.transfer_rate(server, now) + transfer_time / (5 * SECOND), now)
+
+    def transfer_rate(self, server: Server, now: int) -> float:
+        """Transfer time a second that the server recently served to this router, decayed to now."""
+        return server.transfer_rate[0] * math.exp((server.transfer_rate[1] - now) / (5 * SECOND))
+
+    def in_slow_start(self, server: Server, now: int) -> bool:
+        return bool(server.started) and now - server.started < self.slow_start[server.kind == self.parent_kind][2]
+
+    def budget_deadline(self, server: Server, now: int) -> int:
+        """When a hop to a server in slow start has to be sent at the latest: in the budget window that it is charged to, or in the first
+        half of the next window if its connection comes up late. A hop that misses the deadline is charged again, which is frequent
+        where connecting is slow."""
+        windows = max(0, now - server.started) // self.budget_window + 1.5
+        return server.started + int(windows * self.budget_window)
+
+    def has_budget(self, server: Server, now: int, charge: float) -> bool:
+        """Whether a server in slow start may take a further `charge` of transfer time in this budget window. Each router has a part of the
+        budget of all routers. A part smaller than one txn is rounded at random, so that many routers together meet the budget. A
+        window that began before this process is not spent again, because the previous process may have spent it."""
+        if not self.in_slow_start(server, now) or server.kind == self.origin_kind:
             return True
-        share, start, ramp, multiple = self.slow_start[s.kind == self.parent_kind]
-        span = max(0, now - s.started) // self.budget_window
-        if s.tokens_for != span:
-            mine = s.rating * self.size_trust * share
-            if not mine:  # sizes are not told: what warm peers, or the caches before, did for this router
-                rates = [self.transfer_rate(p, now) for p in self.peers(s) if not self.in_slow_start(p, now)]
-                mine = max(LEAST_RATE, sum(rates) / len(rates) if rates else 0.0)
-            able = mine * (start + (1 - start) * span * self.budget_window / ramp) * min(multiple * COLD_USE, 1.0)
-            whole, part = divmod(able * self.budget_window / charge, 1.0)
-            s.tokens, s.tokens_for = charge * (whole + (self.random.random() < part)), span
-            if s.started + span * self.budget_window < self.began:
-                s.tokens = 0.0
-        return s.tokens >= charge
+        share, start, ramp, multiple = self.slow_start[server.kind == self.parent_kind]
+        window = max(0, now - server.started) // self.budget_window
+        if server.token_window != window:
+            own_rate = server.rating * self.rating_trust * share
+            if not own_rate:  # sizes are unknown: take the mean of what warmed-up peers, or caches, served to this router
+                rates = [self.transfer_rate(peer, now) for peer in self.peers(server) if not self.in_slow_start(peer, now)]
+                own_rate = max(MIN_SLOW_START_RATE, sum(rates) / len(rates) if rates else 0.0)
+            allowed_rate = (
+                own_rate * (start + (1 - start) * window * self.budget_window / ramp) * min(multiple * SLOW_START_BUDGET_SHARE, 1.0)
+            )
+            whole_txns, fraction = divmod(allowed_rate * self.budget_window / charge, 1.0)
+            server.tokens, server.token_window = charge * (whole_txns + (self.random.random() < fraction)), window
+            if server.started + window * self.budget_window < self.process_started:
+                server.tokens = 0.0
+        return server.tokens >= charge
 
     # Health.
 
-    def peers(self, s: Server) -> list[Server]:
-        return [p for p in (self.parents if s in self.parents else self.caches) if p is not s]
+    def peers(self, server: Server) -> list[Server]:
+        return [peer for peer in (self.parents if server in self.parents else self.caches) if peer is not server]
 
-    def is_healthy(self, s: Server, now: int) -> bool:
-        return not s.ejected_until or (now >= s.ejected_until and not s.in_flight and not s.sourced_hops)
+    def is_healthy(self, server: Server, now: int) -> bool:
+        return not server.ejected_until or (now >= server.ejected_until and not server.in_flight and not server.sourced_hops)
 
-    def eject(self, s: Server, now: int, why: str) -> None:
-        s.fails = max(s.fails, 0.6 * FAIL_LIMIT)  # one answer clears silence
-        span = min(EJECT_MOST, EJECT_FIRST << min(s.ejections, 6))
-        s.ejected_until, s.ejections = now + span, s.ejections + 1
-        self.log(f"ejected {s.name} for {span // MS} ms: {why}")
+    def eject(self, server: Server, now: int, why: str) -> None:
+        server.error_rate = max(server.error_rate, 0.6 * EJECT_ERROR_RATE)  # so that one answer ends an ejection for silence
+        duration = min(MAX_EJECTION, FIRST_EJECTION << min(server.ejections, 6))
+        server.ejected_until, server.ejections = now + duration, server.ejections + 1
+        self.log(f"ejected {server.name} for {duration // MS} ms: {why}")
 
-    def judge(self, s: Server, failed: float, now: int, proof: bool = False) -> None:
-        """Count one result, 1 failed to 0 well. Only an outlier is ejected."""
-        s.fails += (failed - s.fails) * (PROOF if proof else FAIL_STEP * (2 if s.ejected_until else 1))
-        if not (failed or s.ejected_until):
+    def count_result(self, server: Server, failed: float, now: int, conclusive: bool = False) -> None:
+        """Update the error rate with one result, from 0 (good) to 1 (failed). Only an outlier among its peers is ejected."""
+        server.error_rate += (failed - server.error_rate) * (
+            CONCLUSIVE_ERROR_STEP if conclusive else ERROR_STEP * (2 if server.ejected_until else 1)
+        )
+        if not (failed or server.ejected_until):
             return
-        limit = max(FAIL_LIMIT, FAIL_TIMES * middle([p.fails for p in self.peers(s)] or [1.0]))
-        if failed and s.fails > limit and now >= s.ejected_until:
-            self.eject(s, now, "failures")
-        elif not failed and s.ejected_until:  # no better than its peers are is good enough
-            s.ejected_until = 0 if s.fails < limit / 2 else now
-
-    def transferred(self, s: Server, work: int, took: int, beside: float) -> None:
-        """Learn from a hit how many transfers fit: their number, times the share of full pace each had."""
-        pace = work / max(work, took - 20 * MS)
-        if self.share >= OBJECT_HOMES and (beside >= 1.5 if pace < 0.85 else beside > s.capacity):
-            s.capacity = max(0.5, s.capacity + (beside * pace - s.capacity) * FITS_STEP)
-
-    def origin_late(self, wait: int) -> bool:
-        """Guards an origin that all push over together: far slower than usual, it is asked by few, too."""
-        usual = self.origin_wait or wait
-        if wait <= SLOW_TIMES * usual:
-            self.origin_wait = usual + (wait - usual) * LEARN
-        return wait > SLOW_TIMES * usual
-
-    def filling(self, s: Server, now: int) -> float:
-        """How many hops out are being filled; looked through the less often the more are out."""
-        if now - s.fills[1] >= LOOK_GAP * len(s.in_flight):
-            for h in s.in_flight.values():
-                late = h.filling and now - h.sent > 1.2 * self.hit_time(h, now)
-                h.counted = FILL_LATE if late else h.filling
-            s.fills = (sum(h.counted for h in s.in_flight.values()) if s.in_flight else 0.0, now)
-        return s.fills[0]
-
-    def fills_change(self, s: Server, by: float) -> None:
-        s.fills = (s.fills[0] + by, s.fills[1])
-        self.fills += by
-
-    def hit_time(self, hop: Hop, now: int) -> float:
-        return hop.work * max(1.0, hop.beside / max(1.0, hop.server.capacity), self.recent_utilization(hop.server, now))
-
-    def total_utilization(self, own: float, fits: float) -> float:
-        """The crowd of all routers, by this one's own count, less what chance may have brought it of that."""
-        chance = (1 - self.share) * math.sqrt(max(own, 0.0)) if self.share < OBJECT_HOMES else 0.0
-        return (own - chance) / max(fits, self.share)
-
-    def recent_utilization(self, s: Server, now: int) -> float:
-        """The crowd at a cache, as lately seen there, and as at the others the longer that is ago."""
-        usual = self.crowd and self.crowd * math.exp((self.crowd_at - now) / SEEN_SPAN)
-        if not s.crowd[0] and not usual:
+        limit = max(EJECT_ERROR_RATE, EJECT_PEER_MULTIPLE * median([peer.error_rate for peer in self.peers(server)] or [1.0]))
+        if failed and server.error_rate > limit and now >= server.ejected_until:
+            self.eject(server, now, "failures")
+        elif not failed and server.ejected_until:  # a server as good as its peers returns to service
+            server.ejected_until = 0 if server.error_rate < limit / 2 else now
+
+    def learn_capacity(self, server: Server, transfer_time: int, took: int, in_flight: float) -> None:
+        """Learn from a hit how many transfers a server takes: the number in flight times the share of full pace that each one had."""
+        pace = transfer_time / max(transfer_time, took - 20 * MS)
+        if self.cache_share >= MIN_SHARE_FOR_OBJECT_HOMES and (in_flight >= 1.5 if pace < 0.85 else in_flight > server.capacity):
+            server.capacity = max(0.5, server.capacity + (in_flight * pace - server.capacity) * CAPACITY_STEP)
+
+    def is_origin_slow(self, wait: int) -> bool:
+        """Whether a fill waited for the origin far longer than usual; other waits update the usual one. Guards the origin against the
+        overload that all routers cause together: a slow origin is asked by few."""
+        usual = self.usual_origin_wait or wait
+        if wait <= SLOW_ORIGIN_MULTIPLE * usual:
+            self.usual_origin_wait = usual + (wait - usual) * LEARNING_STEP
+        return wait > SLOW_ORIGIN_MULTIPLE * usual
+
+    def estimate_fills(self, server: Server, now: int) -> float:
+        """How many hops in flight are being filled. The more hops are in flight, the less often they are recounted."""
+        if now - server.fill_estimate[1] >= RECOUNT_INTERVAL * len(server.in_flight):
+            for hop in server.in_flight.values():
+                late = hop.fill_probability and now - hop.sent > 1.2 * self.expected_hit_time(hop, now)
+                hop.counted_fill = LATE_HOP_FILL_PROBABILITY if late else hop.fill_probability
+            server.fill_estimate = (sum(hop.counted_fill for hop in server.in_flight.values()) if server.in_flight else 0.0, now)
+        return server.fill_estimate[0]
+
+    def add_fills(self, server: Server, fills: float) -> None:
+        server.fill_estimate = (server.fill_estimate[0] + fills, server.fill_estimate[1])
+        self.zone_fills += fills
+
+    def expected_hit_time(self, hop: Hop, now: int) -> float:
+        return hop.transfer_time * max(1.0, hop.others_in_flight / max(1.0, hop.server.capacity), self.recent_utilization(hop.server, now))
+
+    def total_utilization(self, own_transfers: float, capacity: float) -> float:
+        """Utilization by all routers, estimated from this router's own transfers, less the excess that chance may have caused."""
+        chance = (1 - self.cache_share) * math.sqrt(max(own_transfers, 0.0)) if self.cache_share < MIN_SHARE_FOR_OBJECT_HOMES else 0.0
+        return (own_transfers - chance) / max(capacity, self.cache_share)
+
+    def recent_utilization(self, server: Server, now: int) -> float:
+        """Utilization of a cache as last observed. The older the observation, the more the mean of the zone's caches replaces it."""
+        mean = self.mean_utilization and self.mean_utilization * math.exp((self.mean_utilization_at - now) / UTILIZATION_DECAY)
+        if not server.utilization[0] and not mean:
             return 0.0
-        return usual + (s.crowd[0] - usual) * math.exp((s.crowd[1] - now) / SEEN_SPAN)
+        return mean + (server.utilization[0] - mean) * math.exp((server.utilization[1] - now) / UTILIZATION_DECAY)
 
-    def usual_crowd(self, now: int) -> float:
-        return self.crowd * math.exp((self.crowd_at - now) / SEEN_SPAN)
+    def recent_mean_utilization(self, now: int) -> float:
+        return self.mean_utilization * math.exp((self.mean_utilization_at - now) / UTILIZATION_DECAY)
 
-    def saw(self, s: Server, crowd: float, now: int) -> None:
-        self.crowd = self.usual_crowd(now) + (crowd - self.usual_crowd(now)) * CROWD_STEP
-        s.crowd, self.crowd_at = (crowd, now), now
+    def record_utilization(self, server: Server, utilization: float, now: int) -> None:
+        self.mean_utilization = (
+            self.recent_mean_utilization(now) + (utilization - self.recent_mean_utilization(now)) * MEAN_UTILIZATION_STEP
+        )
+        server.utilization, self.mean_utilization_at = (utilization, now), now
 
-    def told(self, s: Server, load: dict | None, now: int) -> None:
-        """A load report: of a cache how busy it is, and how full the way in of its location is."""
-        if load is None or s not in self.caches:
+    def load_reported(self, server: Server, load: dict | None, now: int) -> None:
+        """A load report of a cache: how busy it is, and how many fills use the link into its zone."""
+        if load is None or server not in self.caches:
             return
         if "fetching" in load:
-            self.link_told, self.link_told_at = load["fetching"] / FILL_PACE, now
-        busy, was = load.get("util", 0.0), self.recent_utilization(s, now)
-        if busy >= BUSY:  # from here on the hops it holds tell, or hits' pace
-            busy = load["inflight"] / s.rating if self.size_trust and "inflight" in load else max(1.0, was)
-        self.saw(s, was + (busy - was) * PACE_STEP, now)
-
-    def link_crowding(self, now: int, more: float) -> float:
-        told = self.link_told if self.link_told_at and now - self.link_told_at < TOLD_SPAN else 0.0
-        if now - self.fills_at >= LOOK_GAP:  # between looks it is counted on by hops that begin and end
-            self.fills, self.fills_at = sum([self.filling(s, now) for s in self.caches if s.in_flight]), now
-        return max(told, self.total_utilization(self.fills + more, self.link_fits))
-
-    def cache_for(self, order, obj, part, now, mean, crowd, avoid, follow, allowed) -> Server | None:
-        """The home, first of `order`, or as far down it as health, budgets and crowding make it go."""
-        if order and follow is None and allowed is None and not avoid:
-            home = order[0]  # the ordinary case of all that follows: it is well and has room
+            self.link_report, self.link_report_at = load["fetching"] / FILL_PACE, now
+        utilization, previous = load.get("util", 0.0), self.recent_utilization(server, now)
+        if utilization >= BUSY_UTILIZATION:  # the report can't exceed 1: use the hops in flight, or what the pace of hits showed
+            utilization = load["inflight"] / server.rating if self.rating_trust and "inflight" in load else max(1.0, previous)
+        self.record_utilization(server, previous + (utilization - previous) * UTILIZATION_STEP, now)
+
+    def link_utilization(self, now: int, further_fills: float) -> float:
+        """Utilization of the link into the zone, with `further_fills` on top."""
+        reported = self.link_report if self.link_report_at and now - self.link_report_at < LINK_REPORT_LIFETIME else 0.0
+        if now - self.zone_fills_at >= RECOUNT_INTERVAL:  # between recounts, hops that begin and end update the number
+            self.zone_fills, self.zone_fills_at = sum([self.estimate_fills(server, now) for server in self.caches if server.in_flight]), now
+        return max(reported, self.total_utilization(self.zone_fills + further_fills, self.own_link_capacity))
+
+    def choose_cache(self, ranking, obj, part, now, charge, max_utilization, avoided, preferred, allowed) -> Server | None:
+        """The home cache, which is the first of `ranking`, or a later cache where health, budgets or utilization rule the home out. None
+        where no cache may be used or all exceed `max_utilization`. `preferred`: the cache that the txn's leader went to."""
+        if ranking and preferred is None and allowed is None and not avoided:
+            home = ranking[0]  # fast path with the same outcome as below: the home is healthy and has capacity
             if home.state == "up" and not home.ejected_until and not self.in_slow_start(home, now):
-                own = self.total_utilization(len(home.in_flight) + 1, home.capacity)  # fills that hold up would count for less
-                if max(own, SEEN_LAG * self.recent_utilization(home, now)) <= min(crowd, SPILL_NEAR):
+                own_utilization = self.total_utilization(
+                    len(home.in_flight) + 1, home.capacity
+                )  # an upper limit: waiting fills count in full
+                if max(own_utilization, STALE_UTILIZATION_FACTOR * self.recent_utilization(home, now)) <= min(
+                    max_utilization, SPILL_UTILIZATION_FROM_HOME
+                ):
                     return home
-        link = self.link_crowding(now, 0)
-        able = [s for s in order if s.state == "up" and (allowed is None or allowed(s)) and self.has_budget(s, now, mean)]
-        fit = [s for s in able if s.name not in avoid and self.is_healthy(s, now)] or [s for s in able if s.name not in avoid] or able
-        if not fit:
+        link = self.link_utilization(now, 0)
+        usable = [
+            server
+            for server in ranking
+            if server.state == "up" and (allowed is None or allowed(server)) and self.has_budget(server, now, charge)
+        ]
+        candidates = (
+            [server for server in usable if server.name not in avoided and self.is_healthy(server, now)]
+            or [server for server in usable if server.name not in avoided]
+            or usable
+        )
+        if not candidates:
             return None
 
-        def crowding(s: Server) -> float:
-            idle = self.filling(s, now) * max(1 - 1 / max(1.0, link), self.fill_wait)  # fills held up
-            return max(self.total_utilization(len(s.in_flight) + 1 - idle, s.capacity), SEEN_LAG * self.recent_utilization(s, now))
-
-        if follow in fit and crowding(follow) <= crowd:
-            return follow  # where the leader went there is a fill to join
-        home = crowding(fit[0])
-        if home <= (SPILL_NEAR if self.siblings else max(SPILL, crowd) if link > 1 else SPILL):
-            return fit[0] if home <= max(crowd, 1.0) else None
-        # A hot object's home is crowded, and there is room for spreading: its parts do, alike at all routers.
-        spread = [s for s in self.ranked(self.caches, f"{obj}#{part}#") if s in fit]
-        best = next((s for s in spread if crowding(s) <= SPILL_GAIN * home), fit[0])
-        return best if crowding(best) <= max(crowd, 1.0) else None
-
-    def source_for(self, obj, now, charge, avoid) -> Server | None:
-        """The first parent of the shared hash, the second while it fails; then the origin."""
-        ranked = self.ranked(self.parents, obj)
-        if ranked and ranked[0].state == "up" and not ranked[0].ejected_until and not avoid and not self.in_slow_start(ranked[0], now):
-            return ranked[0]  # the ordinary case of what follows
-        if not ranked and self.origin is not None:
+        def utilization(server: Server) -> float:
+            idle = self.estimate_fills(server, now) * max(1 - 1 / max(1.0, link), self.fill_wait_share)  # fills that wait for their source
+            return max(
+                self.total_utilization(len(server.in_flight) + 1 - idle, server.capacity),
+                STALE_UTILIZATION_FACTOR * self.recent_utilization(server, now),
+            )
+
+        if preferred in candidates and utilization(preferred) <= max_utilization:
+            return preferred  # the leader's fill there can be joined
+        home_utilization = utilization(candidates[0])
+        if home_utilization <= (
+            SPILL_UTILIZATION_FROM_HOME if self.siblings else max(SPILL_UTILIZATION, max_utilization) if link > 1 else SPILL_UTILIZATION
+        ):
+            return candidates[0] if home_utilization <= max(max_utilization, 1.0) else None
+        # The home of a hot object is overloaded: its parts move to other caches, in the same way at all routers.
+        part_ranking = [server for server in self.rank_servers(self.caches, f"{obj}#{part}#") if server in candidates]
+        best = next((server for server in part_ranking if utilization(server) <= SPILL_MAX_RATIO * home_utilization), candidates[0])
+        return best if utilization(best) <= max(max_utilization, 1.0) else None
+
+    def choose_source(self, obj, now, charge, avoided) -> Server | None:
+        """The first parent in the ranking for the object, the second while the first fails, and the origin after them."""
+        ranking = self.rank_servers(self.parents, obj)
+        if (
+            ranking
+            and ranking[0].state == "up"
+            and not ranking[0].ejected_until
+            and not avoided
+            and not self.in_slow_start(ranking[0], now)
+        ):
+            return ranking[0]  # fast path with the same outcome as below
+        if not ranking and self.origin is not None:
             return self.origin if self.origin.state == "up" else None
-        able = [s for s in ranked if s.state == "up" and s.name not in avoid and self.has_budget(s, now, charge)]
-        fit = [s for s in able if self.is_healthy(s, now)]
+        usable = [
+            server for server in ranking if server.state == "up" and server.name not in avoided and self.has_budget(server, now, charge)
+        ]
+        healthy = [server for server in usable if self.is_healthy(server, now)]
         origin = [self.origin] if self.origin and self.origin.state == "up" else []
-        return next(iter(fit or origin or able), None)
+        return next(iter(healthy or origin or usable), None)
 
 
 class Router:
-    """One router's decisions. It shares nothing with other routers."""
+    """The decisions of one router. It shares no state with other routers."""
 
     def __init__(
         self,
         host: Host,
         seed: int,
         rules: list[RemapRule],
-        fleet: ServerPool,
+        pool: ServerPool,
         purges: Purges,
         collapsing: Collapsing,
         kb_per_s: float,
@@ -487,165 +598,196 @@
         without_notes: bool = False,
         watch_only: bool = False,
     ):
-        self.host, self.rules, self.pool, self.purges = host, rules, fleet, purges
-        self.without_notes, self.watch_only, self.shape_differences = without_notes, watch_only, {"noteless": 0}  # watched: counted only
-        self.random, fleet.log = random.Random(seed), host.log
-        fleet.random, fleet.began = self.random, host.now()
+        """`kb_per_s`: pace at which a client is sent its answer. `hop_limit`: most hops of one txn. `join_fills`: whether a hop may join a
+        fill that a cache has in progress. `probes`: whether caches may be probed. `may_cancel`: whether hops may be cancelled.
+        `max_retry_after`: the longest time (ns) after which a rejected client is told to come back. `without_notes`: whether answers
+        say nothing about how they were served. `watch_only`: only count where `without_notes` would change a decision."""
+        self.host, self.rules, self.pool, self.purges = host, rules, pool, purges
+        self.without_notes, self.watch_only, self.shape_differences = without_notes, watch_only, {"noteless": 0}
+        self.random, pool.log = random.Random(seed), host.log
+        pool.random, pool.process_started = self.random, host.now()
         self.collapsing, self.kb_per_s, self.hop_limit, self.join_fills = collapsing, kb_per_s, hop_limit, join_fills
         self.probes, self.may_cancel, self.max_retry_after = probes, may_cancel, max_retry_after
-        self.works = [float(FIRST_WORK)] * len(rules)  # mean sending times, learned
-        self.sizes = [Sizes() for _ in rules]
-        self.spreads = [FIRST_WORK / 2] * len(rules)  # their mean deviation, where sizes are not told
-        self.mean_transfer_time, self.mean_importance = float(FIRST_WORK), 1.0
-        self.first_byte_after, self.first_byte_spread = float(FIRST_BYTE), FIRST_BYTE / 2
-        self.txns, self.alarms = {}, {}  # by number; by label
-        self.last_label, self.retries, self.probed_at, self.notes = 0, RETRY_MOST, 0, False
-        self.give_up_counts: dict[GiveUp, int] = {}  # requests given up, by reason
-
-    # A txn's way.
-
-    def txn_arrived(self, ident: int, rule_at: int, obj: str, part: int, left: int, kb: float, group: int):
-        now, rule = self.host.now(), self.rules[rule_at]
-        work = int(kb / self.kb_per_s * SECOND) if kb else int(self.works[rule_at])
-        txn = self.txns[ident] = Txn(ident, rule, rule_at, obj, part, group, work, kb > 0, now + left)
-        if work > rule.limit:  # can't be sent in its time; nor is a figure out of range to be learned
+        self.rule_transfer_times = [float(INITIAL_TRANSFER_TIME)] * len(rules)  # learned mean of each rule
+        self.size_bands = [SizeBands() for _ in rules]
+        self.rule_deviations = [INITIAL_TRANSFER_TIME / 2] * len(rules)  # mean deviation of transfer times where sizes are unknown
+        self.mean_transfer_time, self.mean_importance = float(INITIAL_TRANSFER_TIME), 1.0
+        self.first_byte_wait, self.first_byte_deviation = float(INITIAL_FIRST_BYTE_WAIT), INITIAL_FIRST_BYTE_WAIT / 2
+        self.txns, self.alarms = {}, {}  # by ident; by label
+        self.last_label, self.saved_retries, self.last_probe_at, self.notes_seen = 0, MAX_SAVED_RETRIES, 0, False
+        self.give_up_counts: dict[GiveUp, int] = {}
+
+    # The course of a txn.
+
+    def txn_arrived(self, ident: int, rule_index: int, obj: str, part: int, time_left: int, kb: float, group: int):
+        """A client's txn: send it, let it wait behind its leader, or give it up. `kb` is 0 where its size is unknown."""
+        now, rule = self.host.now(), self.rules[rule_index]
+        transfer_time = int(kb / self.kb_per_s * SECOND) if kb else int(self.rule_transfer_times[rule_index])
+        txn = self.txns[ident] = Txn(ident, rule, rule_index, obj, part, group, transfer_time, kb > 0, now + time_left)
+        if transfer_time > rule.time_limit:  # it can't be sent in time, and a size out of range must not be learned from
             return self.give_up(txn, GiveUp.TOO_LARGE)
-        self.works[rule_at] += (work - self.works[rule_at]) * LEARN
-        sizes, step = self.sizes[rule_at], self.works[rule_at] * LEARN
-        sizes.tenth += step * ((work >= sizes.tenth) - 0.1)
-        sizes.third += step * ((work >= sizes.third) - 0.3)
-        self.retries = min(RETRY_MOST, self.retries + RETRY_SHARE)
-        if rule.uncacheable:  # nothing to share: straight through a cache to the origin
-            return self.send(txn)
-        self.mean_transfer_time += (work - self.mean_transfer_time) * LEARN
-        self.mean_importance += (rule.importance - self.mean_importance) * LEARN
-        if self.probes and self.pool.caches and now - self.probed_at >= PROBE_GAP:
-            self.probed_at, probed = now, self.random.choice(self.pool.caches)
-            if not self.pool.in_slow_start(probed, now):  # a probe is work too, and in no budget
-                self.host.probe(probed.name)
+        self.rule_transfer_times[rule_index] += (transfer_time - self.rule_transfer_times[rule_index]) * LEARNING_STEP
+        bands, step = self.size_bands[rule_index], self.rule_transfer_times[rule_index] * LEARNING_STEP
+        bands.largest_tenth_from += step * ((transfer_time >= bands.largest_tenth_from) - 0.1)
+        bands.largest_third_from += step * ((transfer_time >= bands.largest_third_from) - 0.3)
+        self.saved_retries = min(MAX_SAVED_RETRIES, self.saved_retries + RETRIES_PER_TXN)
+        if rule.uncacheable:  # no copy can be shared: it goes through a cache straight to the origin
+            return self.send_next_hop(txn)
+        self.mean_transfer_time += (transfer_time - self.mean_transfer_time) * LEARNING_STEP
+        self.mean_importance += (rule.importance - self.mean_importance) * LEARNING_STEP
+        if self.probes and self.pool.caches and now - self.last_probe_at >= PROBE_INTERVAL:
+            self.last_probe_at, cache = now, self.random.choice(self.pool.caches)
+            if not self.pool.in_slow_start(cache, now):  # a probe is load too, and no slow start budget includes it
+                self.host.probe(cache.name)
         flight = self.collapsing.flights.get((obj, part))
         if flight is None:
-            self.collapsing.flights[obj, part], txn.leads = Flight(txn, now), True
-            return self.send(txn)
-        free_at = min(
-            flight.since + int(self.first_byte_after + 2 * self.first_byte_spread),
-            now + rule.sla + int((rule.sla_stretch - 1.2) * work) - 50 * MS,
-            now + OUTER_WAIT,
-            txn.limit_at - work,
+            self.collapsing.flights[obj, part], txn.is_leader = Flight(txn, now), True
+            return self.send_next_hop(txn)
+        wait_until = min(
+            flight.started_at + int(self.first_byte_wait + 2 * self.first_byte_deviation),
+            now + rule.sla + int((rule.sla_stretch - 1.2) * transfer_time) - 50 * MS,
+            now + MAX_WAIT,
+            txn.deadline - transfer_time,
         )
-        if free_at <= now or len(flight.waiters) >= MOST_WAITERS:
-            return self.send(txn, known=True, leader=flight.leader)
-        flight.waiters[ident], txn.waits = txn, True
-        self.at(free_at, self.wait_over, txn)
-
-    def wait_over(self, txn: Txn) -> None:
-        if txn.waits and not txn.ended:
+        if wait_until <= now or len(flight.waiters) >= MAX_WAITERS:
+            return self.send_next_hop(txn, no_fill_expected=True, leader=flight.leader)
+        flight.waiters[ident], txn.is_waiting = txn, True
+        self.call_at(wait_until, self.end_wait, txn)
+
+    def end_wait(self, txn: Txn) -> None:
+        """Send a waiting txn, whether or not its leader got an answer."""
+        if txn.is_waiting and not txn.ended:
             leader = self.collapsing.flights[txn.obj, txn.part].leader
-            self.leave_list(txn)
-            self.send(txn, known=True, leader=leader)
+            self.remove_waiter(txn)
+            self.send_next_hop(txn, no_fill_expected=True, leader=leader)
 
-    def leave_list(self, txn: Txn) -> None:
-        if txn.waits:
+    def remove_waiter(self, txn: Txn) -> None:
+        if txn.is_waiting:
             self.collapsing.flights[txn.obj, txn.part].waiters.pop(txn.ident)
-        txn.waits = False
+        txn.is_waiting = False
 
-    def send(self, txn: Txn, known: bool = False, leader: Txn | None = None) -> None:
-        """Send the txn on its next hop (`known`: to hit, or to join its leader's fill), or end it at once."""
+    def send_next_hop(self, txn: Txn, no_fill_expected: bool = False, leader: Txn | None = None) -> None:
+        """Send the txn on its next hop, or give it up. `no_fill_expected`: the hop will hit, or join the fill of its `leader`."""
         now, rule = self.host.now(), txn.rule
-        if txn.ended or txn.hops and any(h.in_flight for h in txn.hops):
+        if txn.ended or txn.hops and any(earlier.in_flight for earlier in txn.hops):
             return None
-        if now >= txn.limit_at or len(txn.hops) >= self.hop_limit:
-            return self.give_up(txn, GiveUp.OUT_OF_TIME if now >= txn.limit_at else GiveUp.ATTEMPTS_SPENT)
-        mean = max(self.works[txn.rule_at], txn.work)
-        worth = rule.importance / self.mean_importance * self.mean_transfer_time / max(txn.work, MS)
-        sizes = self.sizes[txn.rule_at]
-        if worth < 1 and sizes.lately and sizes.short(txn.work):
-            worth = 1.0  # no less than the others'
-        filling, fetch = 0.0 if known or rule.uncacheable else self.pool.miss_share, True
-        crowd = CROWD_LEAST + min(CROWD_MOST, worth)
-        if not txn.sized:
-            crowd = min(crowd, self.bearable_crowd(txn, now))
-        follow = leader.hops[-1].server if leader is not None and leader.hops else None
-        fleet = self.pool
-        order = fleet.order(txn.obj, txn.part)
-        server = fleet.cache_for(
-            order, txn.obj, txn.part, now, mean, crowd, txn.avoid, follow, (lambda s: self.may_send(txn, s, now)) if txn.hops else None
+        if now >= txn.deadline or len(txn.hops) >= self.hop_limit:
+            return self.give_up(txn, GiveUp.OUT_OF_TIME if now >= txn.deadline else GiveUp.ATTEMPTS_SPENT)
+        charge = max(self.rule_transfer_times[txn.rule_index], txn.transfer_time)
+        relative_worth = rule.importance / self.mean_importance * self.mean_transfer_time / max(txn.transfer_time, MS)
+        bands = self.size_bands[txn.rule_index]
+        if relative_worth < 1 and bands.gave_up_recently and bands.is_underserved(txn.transfer_time):
+            relative_worth = 1.0  # the worth of an average txn
+        fill_probability, fetch = 0.0 if no_fill_expected or rule.uncacheable else self.pool.miss_share, True
+        max_utilization = MIN_ADMITTED_UTILIZATION + min(MAX_WORTH_UTILIZATION, relative_worth)
+        if not txn.size_known:
+            max_utilization = min(max_utilization, self.tolerable_utilization(txn, now))
+        preferred = leader.hops[-1].server if leader is not None and leader.hops else None
+        pool = self.pool
+        ranking = pool.rank_caches(txn.obj, txn.part)
+        server = pool.choose_cache(
+            ranking,
+            txn.obj,
+            txn.part,
+            now,
+            charge,
+            max_utilization,
+            txn.failed_servers,
+            preferred,
+            (lambda candidate: self.may_send(txn, candidate, now)) if txn.hops else None,
         )
-        if server is None:  # nowhere to go, or too crowded for what the txn is worth
+        if server is None:  # no cache may be used, or all are too busy for what the txn is worth
             return self.give_up(txn, GiveUp.NO_SERVER)
         if rule.uncacheable:
-            source, rank, charged = fleet.origin, 0, 0.0
+            source, rank, source_charge = pool.origin, 0, 0.0
             if source is None or source.state != "up":
                 return self.give_up(txn, GiveUp.NO_SOURCE)
         else:
-            home, rank = order[0], KEPT_RANK
+            home, rank = ranking[0], CACHEABLE_RANK
             if (
                 server is not home
-                and fleet.siblings
+                and pool.siblings
                 and home.state == "up"
-                and fleet.is_healthy(home, now)
-                and not fleet.in_slow_start(home, now)
-                and home.name not in txn.avoid
+                and pool.is_healthy(home, now)
+                and not pool.in_slow_start(home, now)
+                and home.name not in txn.failed_servers
             ):
-                source, filling = home, 0.0  # a spread part comes from its home, not over the way in
-            elif filling and fleet.link_crowding(now, filling) > LINK_SHARE * crowd:
-                # Guards the way in against more misses than it takes: what would begin a fill is given up.
-                source, filling, txn.past_fresh = server, 0.0, True
+                source, fill_probability = home, 0.0  # fills from the home cache do not use the link into the zone
+            elif fill_probability and pool.link_utilization(now, fill_probability) > MAX_LINK_UTILIZATION_RATIO * max_utilization:
+                # Guards the link into the zone against more fills than it takes: the hop is served only if it hits.
+                source, fill_probability, txn.stale_copy_ok = server, 0.0, True
             else:
-                source = fleet.source_for(txn.obj, now, mean, txn.avoid)
-            origin = fleet.origin  # where it fails, parents give what they hold and few txns try it
-            if origin is not None and origin.fails >= ORIGIN_LIMIT and self.random.random() > max(ORIGIN_TRY, 1 - origin.fails):
-                source, fetch, txn.past_fresh = server if source is origin else source, False, True
-            charged = mean if source is not None and source.started and fleet.in_slow_start(source, now) else 0.0
-        go_by = fleet.span_ends(source, now) if charged else NEVER
-        if server.started and fleet.in_slow_start(server, now):
-            server.tokens -= mean
-            go_by = min(go_by, fleet.span_ends(server, now))
+                source = pool.choose_source(txn.obj, now, charge, txn.failed_servers)
+            origin = pool.origin  # while it fails, parents serve what they have and only few txns may ask it
+            if (
+                origin is not None
+                and origin.error_rate >= ORIGIN_FAILING_RATE
+                and self.random.random() > max(MIN_ORIGIN_TRY_SHARE, 1 - origin.error_rate)
+            ):
+                source, fetch, txn.stale_copy_ok = server if source is origin else source, False, True
+            source_charge = charge if source is not None and source.started and pool.in_slow_start(source, now) else 0.0
+        send_by = pool.budget_deadline(source, now) if source_charge else NEVER
+        if server.started and pool.in_slow_start(server, now):
+            server.tokens -= charge
+            send_by = min(send_by, pool.budget_deadline(server, now))
         if txn.hops and rule.kind == "keyed":
-            go_by = min(go_by, last_repeat(rule, [h for h in txn.hops if h.ran]))
-        hop = Hop(txn.ident, len(txn.hops), server, source, now, txn.work, len(server.in_flight), filling, charged, fetch, counted=filling)
-        fleet.fills_change(server, filling)
-        server.heard = server.heard if server.in_flight else now  # nothing was owed until now
+            send_by = min(send_by, repeat_deadline(rule, [earlier for earlier in txn.hops if earlier.may_have_run]))
+        hop = Hop(
+            txn.ident,
+            len(txn.hops),
+            server,
+            source,
+            now,
+            txn.transfer_time,
+            len(server.in_flight),
+            fill_probability,
+            source_charge,
+            fetch,
+            counted_fill=fill_probability,
+        )
+        pool.add_fills(server, fill_probability)
+        server.last_answer_at = server.last_answer_at if server.in_flight else now  # an idle server was not silent
         txn.hops.append(hop)
         server.in_flight[txn.ident, hop.number] = hop
         if source is not None:
-            source.tokens -= charged
+            source.tokens -= source_charge
             source.sourced_hops[txn.ident, hop.number] = hop
-        # A copy past its fresh time earns less: only after a failed fill, or while the way in is full.
-        span = rule.fresh + rule.grace if txn.past_fresh and rule.fresh and rule.grace else rule.fresh
-        age = self.purges.oldest_copy(now, txn.obj, txn.group, span) or (span if span > rule.fresh else 0)
-        join = self.join_fills and not rule.uncacheable and not (hop.number and any(h.alone for h in txn.hops))
+        # A stale copy earns less, so it is allowed only after a failed fill or while the link into the zone is full.
+        usable_time = rule.fresh_time + rule.grace_time if txn.stale_copy_ok and rule.fresh_time and rule.grace_time else rule.fresh_time
+        max_age = self.purges.max_copy_age(now, txn.obj, txn.group, usable_time) or (usable_time if usable_time > rule.fresh_time else 0)
+        join = self.join_fills and not rule.uncacheable and not (hop.number and any(earlier.fill_may_hang for earlier in txn.hops))
         self.host.send_hop(
             txn.ident,
             server.name,
-            txn.limit_at,
+            txn.deadline,
             source.name if source else None,
             rank,
-            age,
+            max_age,
             join,
-            rule.fresh > 0 and not charged,
+            rule.fresh_time > 0 and not source_charge,  # a hit that renews its copy asks the source, like a fill
             fetch,
-            go_by,
-        )  # a hit that renews is a fill, too
-        hop.due = self.at(now + self.patience(hop, now, len(server.in_flight)), self.hop_due, hop)
+            send_by,
+        )
+        hop.alarm_label = self.call_at(now + self.silence_limit(hop, now, len(server.in_flight)), self.check_silence, hop)
 
-    def bearable_crowd(self, txn: Txn, now: int) -> float:
-        """The crowd at which a large request of this rule still ends in the time that is left: guards the largest, whose size nobody
-        tells, against running out of time on their only hop."""
-        large = self.works[txn.rule_at] + LARGE_SPREADS * self.spreads[txn.rule_at]
-        return max(1.0, (txn.limit_at - now - self.first_byte_after) / max(large, MS))
+    def tolerable_utilization(self, txn: Txn, now: int) -> float:
+        """The utilization at which a large txn of this rule still ends by the deadline. Guards large txns of unknown size against running
+        out of time on their only hop."""
+        large = self.rule_transfer_times[txn.rule_index] + LARGE_TXN_DEVIATIONS * self.rule_deviations[txn.rule_index]
+        return max(1.0, (txn.deadline - now - self.first_byte_wait) / max(large, MS))
 
     def may_send(self, txn: Txn, server: Server, now: int) -> bool:
-        """Guards against an effect that happens twice."""
-        return repeat_refusal(txn.rule, [h for h in txn.hops if h.ran], server, now) is None
+        """Whether a further hop to the server can't make the txn take effect twice."""
+        return repeat_refusal(txn.rule, [hop for hop in txn.hops if hop.may_have_run], server, now) is None
 
     def may_reject(self, txn: Txn) -> bool:
-        return may_promise_no_effect(txn.rule, [h for h in txn.hops if h.ran])
+        """Whether the client may be told that a retry is harmless."""
+        return may_promise_no_effect(txn.rule, [hop for hop in txn.hops if hop.may_have_run])
 
     def give_up(self, txn: Txn, why: GiveUp) -> None:
-        """The final answer, at once."""
+        """Reject or abort the txn at once."""
         self.give_up_counts[why] = self.give_up_counts.get(why, 0) + 1
-        self.sizes[txn.rule_at].ended(txn.work, False)
+        self.size_bands[txn.rule_index].count_end(txn.transfer_time, False)
         if self.may_reject(txn):
             self.host.reject(txn.ident, int(self.max_retry_after * self.random.uniform(0.3, 1.0)))
         else:
@@ -653,207 +795,227 @@
         self.finish(txn)
 
     def finish(self, txn: Txn, completed: bool = False) -> None:
-        """The txn has its final answer. Its list moves on."""
+        """The txn has its final answer. If it led a flight, its waiters are sent, or the first of them leads after a failure."""
         txn.ended = True
-        self.leave_list(txn)
+        self.remove_waiter(txn)
         if txn.hops and txn.hops[-1].in_flight:
-            self.drop(txn.hops[-1])
+            self.cancel_hop(txn.hops[-1])
         else:
             self.txns.pop(txn.ident, None)
-        if not txn.leads:
+        if not txn.is_leader:
             return
-        txn.leads, flight = False, self.collapsing.flights.pop((txn.obj, txn.part))
-        if not completed and flight.waiters:  # the next one leads
-            heir = flight.waiters.pop(next(iter(flight.waiters)))
-            heir.waits, heir.leads = False, True
-            self.collapsing.flights[txn.obj, txn.part] = Flight(heir, self.host.now(), flight.waiters)
-            return self.send(heir)
+        txn.is_leader, flight = False, self.collapsing.flights.pop((txn.obj, txn.part))
+        if not completed and flight.waiters:
+            new_leader = flight.waiters.pop(next(iter(flight.waiters)))
+            new_leader.is_waiting, new_leader.is_leader = False, True
+            self.collapsing.flights[txn.obj, txn.part] = Flight(new_leader, self.host.now(), flight.waiters)
+            return self.send_next_hop(new_leader)
         for waiter in flight.waiters.values():
-            waiter.waits = False
-            self.send(waiter, known=True, leader=txn)
+            waiter.is_waiting = False
+            self.send_next_hop(waiter, no_fill_expected=True, leader=txn)
 
-    def drop(self, hop: Hop) -> None:
-        """Stop waiting for a hop, unless that would leave open whether an unrepeatable txn ran."""
-        txn = self.txns[hop.txn]
-        if self.may_cancel and not hop.dropped and (txn.ended or txn.rule.kind != "unrepeatable"):
-            hop.dropped = True
-            self.host.cancel(hop.txn, hop.number)
+    def cancel_hop(self, hop: Hop) -> None:
+        """Stop waiting for a hop, unless the txn is unrepeatable and open: then it would be unknown whether it ran."""
+        txn = self.txns[hop.txn_ident]
+        if self.may_cancel and not hop.cancelled and (txn.ended or txn.rule.kind != "unrepeatable"):
+            hop.cancelled = True
+            self.host.cancel(hop.txn_ident, hop.number)
 
-    # What hops tell.
+    # Results of hops.
 
     def hop_ended(
         self, ident: int, number: int, result: str, took: int, final: bool, note: int, waited: int | None, load: dict | None
     ) -> None:
+        """A hop ended with a result of host.RESULTS. `final`: the txn has its final answer, or must not be sent again. `note`: how the hop
+        was served, as a constant of host.py. `waited`: how long a fill waited for its source, where the answer says so."""
         txn, now = self.txns.get(ident), self.host.now()
         if txn is None or number >= len(txn.hops) or not txn.hops[number].in_flight:
             return
         hop = txn.hops[number]
-        hop.in_flight, hop.ran = False, result not in NEVER_RAN
-        if self.alarms.pop(hop.due, None) is not None:
-            self.host.cancel_alarm(hop.due)
+        hop.in_flight, hop.may_have_run = False, result not in NEVER_RAN
+        if self.alarms.pop(hop.alarm_label, None) is not None:
+            self.host.cancel_alarm(hop.alarm_label)
         hop.server.in_flight.pop((ident, number), None)
-        self.pool.fills_change(hop.server, -hop.counted)
+        self.pool.add_fills(hop.server, -hop.counted_fill)
         if hop.source is not None:
             hop.source.sourced_hops.pop((ident, number), None)
         self.learn(txn, hop, result, took, note, waited, now)
-        self.pool.told(hop.server, load, now)
+        self.pool.load_reported(hop.server, load, now)
         if txn.ended:
             self.txns.pop(ident, None)
         elif final:
-            if result == "completed" and self.sizes[txn.rule_at].lately:
-                self.sizes[txn.rule_at].ended(txn.work, True)
+            if result == "completed" and self.size_bands[txn.rule_index].gave_up_recently:
+                self.size_bands[txn.rule_index].count_end(txn.transfer_time, True)
             self.finish(txn, result == "completed")
         elif (
-            now >= txn.limit_at - 2 * MS
+            now >= txn.deadline - 2 * MS
             or result == "timed_out"
-            or txn.hopeless
-            or (self.retries < 1 and result not in LOST)
-            or sum(h.erred for h in txn.hops) >= ERRORS_MOST
+            or txn.unfillable
+            or (self.saved_retries < 1 and result not in CONNECTION_FAILURES)
+            or sum(earlier.returned_error for earlier in txn.hops) >= MAX_ERRORS_PER_TXN
         ):
             self.give_up(txn, GiveUp.NOT_RETRIED)
         else:
-            self.retries -= result not in LOST  # guards against hops that multiply an overload
-            self.send(txn)
+            self.saved_retries -= result not in CONNECTION_FAILURES  # guards against retries that multiply an overload
+            self.send_next_hop(txn)
 
     def learn(self, txn: Txn, hop: Hop, result: str, took: int, note: int, waited, now: int) -> None:
-        """Whom a result speaks for or against: the cache, the source, or neither."""
+        """Update health, load and averages with a hop's result: it counts for or against the cache, the source, both or neither."""
         server, source = hop.server, hop.source
         if result in ("completed", "error", "full", "missing"):
-            server.heard = now
-        self.notes |= note > 0  # told here, so an error without one is not the source's
-        if source is not None and note in (*FILLS, SOURCE_REFUSED, ORIGIN_FAILED):
-            source.heard, source.missed = now, source.missed // 2
+            server.last_answer_at = now
+        self.notes_seen |= note > 0  # where answers have notes, an error without one is not the fault of the source
+        if source is not None and note in (*FILL_NOTES, SOURCE_REFUSED, ORIGIN_FAILED):
+            source.last_answer_at, source.missed_fills = now, source.missed_fills // 2
             for peer in self.pool.peers(source) if len(self.pool.parents) > 1 else ():
-                peer.missed += bool(peer.sourced_hops)
+                peer.missed_fills += bool(peer.sourced_hops)
         elif source is not None and note in (HIT, JOINED, PAST_FRESH):
-            if (hop.sent - source.started) // self.pool.budget_window == source.tokens_for:  # else it is over
-                source.tokens += hop.charged  # the source was not asked
-        hung = result == "timed_out" and hop.filling > 0 and self.pool.usual_crowd(now) < SPILL
-        if self.pool.origin is not None and (hung or note in (FILLED_BY_ORIGIN, ORIGIN_FAILED)):
-            bad = note != FILLED_BY_ORIGIN or self.pool.origin_late(waited or 0)
-            self.pool.origin.fails += (bad - self.pool.origin.fails) * ORIGIN_STEP
-        txn.hopeless |= result == "missing" and (source is server or not hop.fetch)
+            if (hop.sent - source.started) // self.pool.budget_window == source.token_window:  # tokens of past windows are void
+                source.tokens += hop.source_charge  # the source was not asked
+        origin_hung = result == "timed_out" and hop.fill_probability > 0 and self.pool.recent_mean_utilization(now) < SPILL_UTILIZATION
+        if self.pool.origin is not None and (origin_hung or note in (FILLED_BY_ORIGIN, ORIGIN_FAILED)):
+            failed = note != FILLED_BY_ORIGIN or self.pool.is_origin_slow(waited or 0)
+            self.pool.origin.error_rate += (failed - self.pool.origin.error_rate) * ORIGIN_ERROR_STEP
+        txn.unfillable |= result == "missing" and (source is server or not hop.fetch)
         if result == "completed":
-            for h in [h for h in txn.hops if h.erred] if len(txn.hops) > 1 else ():
-                self.pool.judge(h.server, 1.0, now)
-                if h.source is not None and not (self.notes or txn.rule.uncacheable):  # peers tell them apart
-                    self.pool.judge(h.source, 1.0, now)
-            self.pool.carried(server, hop.work, now)
-            self.pool.judge(server, 0.0, now)
-            beside = (hop.beside + len(server.in_flight)) / 2 + 1
-            was = self.pool.recent_utilization(server, now)
+            for failed_hop in [earlier for earlier in txn.hops if earlier.returned_error] if len(txn.hops) > 1 else ():
+                self.pool.count_result(failed_hop.server, 1.0, now)
+                # Without notes the cache and the source are both blamed: the error rates of their peers show which one fails.
+                if failed_hop.source is not None and not (self.notes_seen or txn.rule.uncacheable):
+                    self.pool.count_result(failed_hop.source, 1.0, now)
+            self.pool.count_transfer(server, hop.transfer_time, now)
+            self.pool.count_result(server, 0.0, now)
+            in_flight = (hop.others_in_flight + len(server.in_flight)) / 2 + 1
+            utilization = self.pool.recent_utilization(server, now)
             if (
-                txn.sized
-                and hop.work > 50 * MS
-                and (note == HIT or note in FILLS and was > BUSY and self.pool.link_crowding(now, 0) < LINK_SHARE)
+                txn.size_known
+                and hop.transfer_time > 50 * MS
+                and (
+                    note == HIT
+                    or note in FILL_NOTES
+                    and utilization > BUSY_UTILIZATION
+                    and self.pool.link_utilization(now, 0) < MAX_LINK_UTILIZATION_RATIO
+                )
             ):
-                slow = (took - (20 * MS if note == HIT else 2 * DUE_WAIT)) / hop.work
-                self.pool.saw(server, max(0.0, was + (max(slow, min(was, 1.0)) - was) * PACE_STEP), now)
-                self.pool.transferred(server, hop.work, took, beside)
-            elif not txn.sized and (note == HIT or self.without_notes and self.learns_noteless()):
-                alone = max(0, took - 20 * MS) * min(1.0, server.capacity / beside)  # less what others took of it
-                off = alone - self.works[txn.rule_at]
-                self.works[txn.rule_at] += off * LEARN
-                self.spreads[txn.rule_at] += (abs(off) - self.spreads[txn.rule_at]) * LEARN
-            if hop.filling and note:
-                self.pool.miss_share += ((note in FILLS) - self.pool.miss_share) * LEARN
-            if note in FILLS and source is not None:
-                self.pool.carried(source, txn.work, now)
-                self.pool.judge(source, 0.0, now)
-                wait = waited if waited is not None else max(0, took - txn.work)
-                self.pool.fill_wait += ((waited or 0) / max(took, 1) - self.pool.fill_wait) * LEARN
-                off = min(wait - self.first_byte_after, 5 * self.first_byte_after)
-                self.first_byte_after += off * LEARN
-                self.first_byte_spread += (abs(off) - self.first_byte_spread) * LEARN
+                slowdown = (took - (20 * MS if note == HIT else 2 * USUAL_FILL_WAIT)) / hop.transfer_time
+                self.pool.record_utilization(
+                    server, max(0.0, utilization + (max(slowdown, min(utilization, 1.0)) - utilization) * UTILIZATION_STEP), now
+                )
+                self.pool.learn_capacity(server, hop.transfer_time, took, in_flight)
+            elif not txn.size_known and (note == HIT or self.without_notes and self.learns_without_notes()):
+                full_pace_time = max(0, took - 20 * MS) * min(1.0, server.capacity / in_flight)  # without the slowdown by other transfers
+                deviation = full_pace_time - self.rule_transfer_times[txn.rule_index]
+                self.rule_transfer_times[txn.rule_index] += deviation * LEARNING_STEP
+                self.rule_deviations[txn.rule_index] += (abs(deviation) - self.rule_deviations[txn.rule_index]) * LEARNING_STEP
+            if hop.fill_probability and note:
+                self.pool.miss_share += ((note in FILL_NOTES) - self.pool.miss_share) * LEARNING_STEP
+            if note in FILL_NOTES and source is not None:
+                self.pool.count_transfer(source, txn.transfer_time, now)
+                self.pool.count_result(source, 0.0, now)
+                wait = waited if waited is not None else max(0, took - txn.transfer_time)
+                self.pool.fill_wait_share += ((waited or 0) / max(took, 1) - self.pool.fill_wait_share) * LEARNING_STEP
+                deviation = min(wait - self.first_byte_wait, 5 * self.first_byte_wait)
+                self.first_byte_wait += deviation * LEARNING_STEP
+                self.first_byte_deviation += (abs(deviation) - self.first_byte_deviation) * LEARNING_STEP
         elif note in (SOURCE_REFUSED, SOURCE_LOST, SOURCE_LACKS, ORIGIN_FAILED):
-            txn.past_fresh = True
-            txn.avoid |= {source.name} if source is not None else set()
+            txn.stale_copy_ok = True
+            txn.failed_servers |= {source.name} if source is not None else set()
             if source is not None and note in (SOURCE_REFUSED, SOURCE_LOST):
-                self.pool.judge(source, 1.0, now, note == SOURCE_LOST)
-        elif result == "error":  # a txn that nobody can serve speaks against nobody
-            txn.avoid.add(server.name)
-            hop.erred = True
+                self.pool.count_result(source, 1.0, now, note == SOURCE_LOST)
+        elif result == "error":  # counted only if another hop completes the txn: some txns fail at every server
+            txn.failed_servers.add(server.name)
+            hop.returned_error = True
         elif result in ("unreachable", "broken"):
-            txn.avoid |= {server.name} if result == "unreachable" else set()
-            if result == "unreachable" or hop.sent > server.broke:  # all hops on a connection break at once
-                server.broke = now
-                self.pool.judge(server, 1.0, now, result == "unreachable")
-        elif result in ("full", "missing", "cancelled") and not hop.alone:
-            txn.avoid.add((source if result == "missing" and source in self.pool.caches else server).name)
-
-    def learns_noteless(self) -> bool:  # where answers carry no notes, any completed one stands in for a hit
+            txn.failed_servers |= {server.name} if result == "unreachable" else set()
+            if result == "unreachable" or hop.sent > server.connection_broke_at:  # count a broken connection once for all its hops
+                server.connection_broke_at = now
+                self.pool.count_result(server, 1.0, now, result == "unreachable")
+        elif result in ("full", "missing", "cancelled") and not hop.fill_may_hang:
+            txn.failed_servers.add((source if result == "missing" and source in self.pool.caches else server).name)
+
+    def learns_without_notes(self) -> bool:
+        """Whether any completed hop counts as a hit, because answers carry no notes. Counts each such hop."""
         self.shape_differences["noteless"] += 1
         return not self.watch_only
 
-    def patience(self, hop: Hop, now: int, out: int) -> int:
-        """How long a server or source may stay silent with this hop out, the more the more it has to do.
-        Where a router sees little, the longer the fewer are `out`: a late one may wait for its source."""
-        txn = self.txns.get(hop.txn)  # unsized: one of many sizes; TAIL spreads more for the large ones
-        tail = TAIL * self.spreads[txn.rule_at] if txn is not None and not txn.sized else 0.0
-        times = max(QUIET_TIMES, QUIET_FEW / max(out, 2)) if self.pool.share < OBJECT_HOMES else QUIET_TIMES
-        due = times * (self.pool.hit_time(hop, now) + self.first_byte_after)
-        return int((QUIET_LEAST + QUIET_TIMES * tail + due) * (ALONE if out < 2 else 1.0))
-
-    def hop_due(self, hop: Hop) -> None:
-        """Guards against caches that answer nothing, and sources that send nothing while others do."""
+    def silence_limit(self, hop: Hop, now: int, in_flight: int) -> int:
+        """How long a server or source may stay silent while this hop is in flight; longer where it has more work. A router that sees
+        little traffic allows more time the fewer hops are in flight, because a late hop may wait for its source."""
+        txn = self.txns.get(hop.txn_ident)  # of unknown size: large txns of its rule need some deviations more
+        size_margin = UNSIZED_DEVIATIONS * self.rule_deviations[txn.rule_index] if txn is not None and not txn.size_known else 0.0
+        multiple = (
+            max(SILENCE_MULTIPLE, FEW_HOPS_SILENCE_MULTIPLE / max(in_flight, 2))
+            if self.pool.cache_share < MIN_SHARE_FOR_OBJECT_HOMES
+            else SILENCE_MULTIPLE
+        )
+        expected = multiple * (self.pool.expected_hit_time(hop, now) + self.first_byte_wait)
+        return int((MIN_SILENCE + SILENCE_MULTIPLE * size_margin + expected) * (ONLY_HOP_MULTIPLE if in_flight < 2 else 1.0))
+
+    def check_silence(self, hop: Hop) -> None:
+        """Eject a cache that answers nothing, or a parent that sends nothing while its peers do, and cancel the hops that wait for it."""
         now, server, source = self.host.now(), hop.server, hop.source
-        if not hop.in_flight or hop.dropped:
+        if not hop.in_flight or hop.cancelled:
             return
-        if now - max(server.heard, hop.sent) >= self.patience(hop, now, len(server.in_flight)):
-            if self.pool.share < OBJECT_HOMES and (hop.filling or self.txns[hop.txn].rule.uncacheable):
-                # Else only fills that come in time are learned from: a slow source is never known as slow.
-                late = max(0, now - hop.sent - hop.work - self.first_byte_after)
-                self.first_byte_after += late * LATE_LEARN
+        if now - max(server.last_answer_at, hop.sent) >= self.silence_limit(hop, now, len(server.in_flight)):
+            if self.pool.cache_share < MIN_SHARE_FOR_OBJECT_HOMES and (hop.fill_probability or self.txns[hop.txn_ident].rule.uncacheable):
+                # Learning from fills that come in time alone would never show that a source is slow.
+                late = max(0, now - hop.sent - hop.transfer_time - self.first_byte_wait)
+                self.first_byte_wait += late * LATE_FILL_STEP
             if now >= server.ejected_until:
                 self.pool.eject(server, now, "silent")
             for other in list(server.in_flight.values()):
-                if now - other.sent > QUIET_LEAST:
-                    self.drop(other)
+                if now - other.sent > MIN_SILENCE:
+                    self.cancel_hop(other)
             return
         if source in self.pool.parents:
             if (
-                source.missed >= MISSED_FILLS
+                source.missed_fills >= MIN_MISSED_FILLS
                 and not source.ejected_until
-                and LATE_FILLS
+                and MIN_LATE_FILLS
                 <= sum(
-                    now - max(h.sent, source.heard) >= self.patience(h, now, len(source.sourced_hops)) for h in source.sourced_hops.values()
+                    now - max(waiting.sent, source.last_answer_at) >= self.silence_limit(waiting, now, len(source.sourced_hops))
+                    for waiting in source.sourced_hops.values()
                 )
             ):
                 self.pool.eject(source, now, "its fills do not come")
             if source.ejected_until:
-                hop.alone = True
-                self.txns[hop.txn].avoid.add(source.name)
-                return self.drop(hop)
-        hop.due = self.at(now + QUIET_LEAST, self.hop_due, hop)
+                hop.fill_may_hang = True
+                self.txns[hop.txn_ident].failed_servers.add(source.name)
+                return self.cancel_hop(hop)
+        hop.alarm_label = self.call_at(now + MIN_SILENCE, self.check_silence, hop)
 
     def first_byte_arrived(self, ident: int, number: int) -> None:
+        """The first byte of a leader's answer: its waiters can now join the fill or hit."""
         txn = self.txns.get(ident)
-        if txn is not None and txn.leads:
+        if txn is not None and txn.is_leader:
             for waiter in list(self.collapsing.flights[txn.obj, txn.part].waiters.values()):
-                self.wait_over(waiter)
+                self.end_wait(waiter)
 
     def txn_withdrawn(self, ident: int) -> None:
+        """The client no longer wants an answer."""
         if ident in self.txns and not self.txns[ident].ended:
             self.finish(self.txns[ident])
 
     def end_now(self, ident: int, why: GiveUp = GiveUp.PROGRAM_ENDS) -> None:
-        """The program ends, or has failed over this txn: it gets its answer now."""
+        """Give the txn up at once, because the program ends or failed while it handled the txn."""
         txn = self.txns.get(ident)
         if txn is not None and not txn.ended:
             self.give_up(txn, why)
 
     def purged(self, obj: str | None, group: int, age: int) -> None:
+        """A purge of one object, or of a group where `obj` is None, that was issued `age` ns ago."""
         self.purges.add(self.host.now(), obj, group, age)
 
     def probe_ended(self, server: str, result: str, took: int, load: dict | None) -> None:
-        self.pool.told(self.pool.servers.get(server), load, self.host.now())
+        self.pool.load_reported(self.pool.servers.get(server), load, self.host.now())
 
-    def at(self, when: int, what, *about) -> int:
+    def call_at(self, when: int, function, *arguments) -> int:
+        """Call the function at that time. Returns the label of the alarm."""
         self.last_label = label = self.last_label + 1
-        self.alarms[label] = (what, about)
+        self.alarms[label] = (function, arguments)
         self.host.set_alarm(label, when)
         return label
 
     def alarm_fired(self, label: int) -> None:
-        what, about = self.alarms.pop(label, (lambda: None, ()))
-        what(*about)
+        function, arguments = self.alarms.pop(label, (lambda: None, ()))
+        function(*arguments)
--- a/fieldspur/host.py
+++ b/fieldspur/host.py
@@ -27,10 +27,10 @@
     late_share: float  # share of the importance that an answer after the SLA time earns
     sla: int  # SLA time, without the part that grows with the size
     sla_stretch: float  # that part, as a multiple of the txn's own sending time
-    limit: int  # the client's time limit over all its tries
+    time_limit: int  # the client's time limit over all its tries
     uncacheable: bool  # runs at the origin and leaves no copy
-    fresh: int  # how long a copy is fresh; 0: until purged
-    grace: int  # how long past that a copy may be served
+    fresh_time: int  # how long a copy is fresh; 0: until purged
+    grace_time: int  # how long past that a copy may be served
     stale_share: float  # share of the importance that such an answer earns
 
 
--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -6,7 +6,7 @@
 import threading
 import time
 
-from fieldspur.decide import LANES
+from fieldspur.decide import MAX_CONNECTIONS_WHILE_BREAKING
 from fieldspur.net import resp
 from fieldspur.net.client_writer import CLIENT_LEFT, UNREAD_BYTES, AnswerSender
 from fieldspur.net.invariants import check_invariant
@@ -83,7 +83,7 @@
             broke_recently = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS - self.last_break_at < self.site.idle_timeout
             if best is not None and (
                 not best.open_hops
-                or len(connections) >= (LANES if broke_recently else 1)
+                or len(connections) >= (MAX_CONNECTIONS_WHILE_BREAKING if broke_recently else 1)
                 or self.unlocked_count() >= self.max_connections // 2
             ):
                 return best  # the second half of the descriptors is kept for servers that have no connection
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -174,7 +174,7 @@
     return None if same else Refusal.OTHER_REPEAT_GROUP
 
 
-def last_repeat(rule, ran: list) -> int:
+def repeat_deadline(rule, ran: list) -> int:
     """By when a further attempt has to be written; NEVER where nothing limits it."""
     if rule.kind != "keyed" or not ran:
         return NEVER
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -25,7 +25,7 @@
 
 def test_the_next_waiter_leads_when_the_leader_fails():
     day = Referee()
-    day.router.retries = 0
+    day.router.saved_retries = 0
     for ident in range(3):
         day.arrive(ident)
     day.end(0, "error")
@@ -74,7 +74,7 @@
         day.arrive(ident, 1, obj=f"o{ident}", kb=0.0)
         day.pass_time(60 * MS)
         day.end(ident, "completed", HIT)
-    assert day.router.works[1] < 100 * MS < day.router.works[0]
+    assert day.router.rule_transfer_times[1] < 100 * MS < day.router.rule_transfer_times[0]
 
 
 def test_sending_times_are_learned_from_answers_without_notes_and_only_counted_when_watched():
@@ -86,7 +86,7 @@
             day.arrive(ident, 1, obj=f"o{ident}", kb=0.0)
             day.pass_time(60 * MS)
             day.end(ident, "completed")
-        learned = day.router.works[1] < 100 * MS
+        learned = day.router.rule_transfer_times[1] < 100 * MS
         assert learned == (noteless and not watch)
         assert day.router.shape_differences["noteless"] == (100 if noteless else 0)
 
@@ -136,10 +136,10 @@
 
 def test_what_did_not_come_in_time_is_learned_from_so_that_the_next_waits_longer():
     day = Referee(rules=[rule("keyed", never_kept=True)], caches=2, share=0.02)
-    before = day.router.first_byte_after
+    before = day.router.first_byte_wait
     day.arrive(0, kb=100.0)
     day.pass_time(3500 * MS)
-    assert any("silent" in line for line in day.lines) and day.router.first_byte_after > before + 200 * MS
+    assert any("silent" in line for line in day.lines) and day.router.first_byte_wait > before + 200 * MS
 
 
 def test_a_busy_server_does_not_pass_for_silent():
@@ -211,9 +211,9 @@
 
 def test_a_size_out_of_range_is_rejected_at_once_and_not_learned():
     day = Referee(rules=[rule()])
-    works = list(day.router.works)
+    works = list(day.router.rule_transfer_times)
     day.arrive(0, kb=1e9)
-    assert day.txns[0]["final"] == "rejected" and not day.hops(0) and day.router.works == works
+    assert day.txns[0]["final"] == "rejected" and not day.hops(0) and day.router.rule_transfer_times == works
 
 
 def test_a_server_that_is_gone_is_forgotten_once_nothing_of_it_is_out():
@@ -319,7 +319,7 @@
     for ident in range(8):
         day.arrive(ident, obj=f"o{ident}", kb=10.0, left=300 * MS)
         day.pass_time(320 * MS)
-    assert day.hops(0)[0]["fetch"] and day.router.pool.origin.fails > 0.35
+    assert day.hops(0)[0]["fetch"] and day.router.pool.origin.error_rate > 0.35
 
 
 def test_an_origin_far_slower_than_usual_is_asked_by_few():
@@ -349,7 +349,7 @@
 def test_an_idle_way_in_is_not_closed_by_a_tiny_share():
     """Found on bc-enrolment-later: a second fill out was over a router's share, and misses were given up."""
     day = Referee(caches=3)
-    day.router.pool.share, day.router.pool.link_fits = 0.05, 0.9
+    day.router.pool.cache_share, day.router.pool.own_link_capacity = 0.05, 0.9
     for ident in range(7):
         day.arrive(ident, obj=f"o{ident}", kb=10.0)
     assert all(day.hops(i)[0]["source"] != day.hops(i)[0]["server"] for i in range(7))
@@ -375,17 +375,17 @@
 
 def test_what_a_txn_costs_does_not_grow_with_the_hops_out(monkeypatch):
     """Found on sockets: all hops out were looked through at each call, and a router that fell behind fell further."""
-    day, looks, hit_time = Referee(caches=1, rating=500.0), [], ServerPool.hit_time
-    monkeypatch.setattr(ServerPool, "hit_time", lambda *about: looks.append(1) or hit_time(*about))
+    day, looks, expected_hit_time = Referee(caches=1, rating=500.0), [], ServerPool.expected_hit_time
+    monkeypatch.setattr(ServerPool, "expected_hit_time", lambda *about: looks.append(1) or expected_hit_time(*about))
     day.router.pool.siblings = False
-    day.router.pool.link_fits = 500.0
+    day.router.pool.own_link_capacity = 500.0
     for ident in range(120):
         day.arrive(ident, obj=f"o{ident}")
     cache = day.router.pool.servers["c0"]
     assert len(cache.in_flight) == 120 and len(looks) < 4 * 120  # one or two of each hop's own, and few looks
-    assert cache.fills[0] == pytest.approx(sum(h.counted for h in cache.in_flight.values()))
+    assert cache.fill_estimate[0] == pytest.approx(sum(h.counted_fill for h in cache.in_flight.values()))
     day.pass_time(200 * MS)
-    assert day.router.pool.filling(cache, day.clock) == pytest.approx(sum(h.counted for h in cache.in_flight.values()))
+    assert day.router.pool.estimate_fills(cache, day.clock) == pytest.approx(sum(h.counted_fill for h in cache.in_flight.values()))
 
 
 def test_orders_are_kept_while_the_list_of_servers_stays_and_made_anew_when_it_changes():
@@ -393,17 +393,17 @@
     referee = Referee(caches=6)
     fleet = referee.router.pool
     objects = [f"object-{n}" for n in range(40)]
-    before = {obj: [s.name for s in fleet.order(obj, 0)] for obj in objects}
+    before = {obj: [s.name for s in fleet.rank_caches(obj, 0)] for obj in objects}
     assert len({order[0] for order in before.values()}) == 6
-    kept = fleet.order(objects[0], 0)
+    kept = fleet.rank_caches(objects[0], 0)
     referee.change("c1", state="draining")
     referee.change("c2", started=referee.clock)
-    assert fleet.order(objects[0], 0) is kept
+    assert fleet.rank_caches(objects[0], 0) is kept
     referee.change("c1", state="gone")
-    after = {obj: [s.name for s in fleet.order(obj, 0)] for obj in objects}
+    after = {obj: [s.name for s in fleet.rank_caches(obj, 0)] for obj in objects}
     assert after == {obj: [name for name in order if name != "c1"] for obj, order in before.items()}
     referee.change("c1", state="up")
-    assert {obj: [s.name for s in fleet.order(obj, 0)] for obj in objects} == before
+    assert {obj: [s.name for s in fleet.rank_caches(obj, 0)] for obj in objects} == before
 
 
 @pytest.mark.parametrize("later", [False, True])
@@ -413,7 +413,7 @@
         day.change(name, started=day.clock)
     day.arrive(1, kb=100.0)
     parent = day.router.pool.servers[day.hops(1)[0]["source"]]
-    left, charged = parent.tokens, day.router.txns[1].hops[0].charged
+    left, charged = parent.tokens, day.router.txns[1].hops[0].source_charge
     assert charged
     if later:
         day.clock += SPAN
--- a/tests/test_purges.py
+++ b/tests/test_purges.py
@@ -23,7 +23,7 @@
     def add(self, now, obj, group, age):
         self.told.append((obj, None if obj is not None else group, now - age))
 
-    def oldest_copy(self, now, obj, group, fresh):
+    def max_copy_age(self, now, obj, group, fresh):
         made = max((at for o, g, at in self.told if now - at <= 2 * SPAN and (o == obj if o is not None else g == group)), default=0)
         return min(max(1000, now - made), fresh or now) if made else 0
 
@@ -39,7 +39,7 @@
             for asked in ("a", "b", "c", "d"):
                 for family in range(3):
                     fresh = chance.choice((0, SECOND))
-                    assert purges.oldest_copy(now, asked, family, fresh) == rule.oldest_copy(now, asked, family, fresh)
+                    assert purges.max_copy_age(now, asked, family, fresh) == rule.max_copy_age(now, asked, family, fresh)
 
 
 def cost(note, binding, further=300):
@@ -72,12 +72,12 @@
 
 
 def test_purges_of_names_that_never_come_again_are_bounded_and_bind_no_less(monkeypatch):
-    monkeypatch.setattr(decide, "MOST_PURGES", 50)
+    monkeypatch.setattr(decide, "MAX_PURGES", 50)
     purges = Purges(SPAN)
     for n in range(200):
         purges.add(1000 * SECOND + n * MS, f"{n:016x}", n, 0)
     now = 1000 * SECOND + 200 * MS
-    assert len(purges.made) <= 50
+    assert len(purges.purged_at) <= 50
     for n in range(200):
-        assert 1000 <= purges.oldest_copy(now, f"{n:016x}", n, 0) <= (200 - n) * MS
-    assert purges.oldest_copy(now + 2 * SPAN, f"{0:016x}", 0, 0) == 0
+        assert 1000 <= purges.max_copy_age(now, f"{n:016x}", n, 0) <= (200 - n) * MS
+    assert purges.max_copy_age(now + 2 * SPAN, f"{0:016x}", 0, 0) == 0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -105,7 +105,7 @@
         fleets.append(fleet)
     for now in range(clock, clock + RAMP, 20 * MS):
         for fleet in fleets:  # the warm one is at its limit, and all ask the cold one for all that they may
-            fleet.carried(fleet.servers["warm"], int(20 * MS * rating / routers), now)
+            fleet.count_transfer(fleet.servers["warm"], int(20 * MS * rating / routers), now)
             while fleet.has_budget(fleet.servers["cold"], now, 300 * MS):
                 fleet.servers["cold"].tokens -= 300 * MS
                 asked.append(now)
@@ -136,7 +136,7 @@
             link_capacity=0.0,
             siblings=False,
         )
-        fleet.random, fleet.began = random.Random(seed), now
+        fleet.random, fleet.process_started = random.Random(seed), now
         fleet.up_at = max(now, clock) + (int(dice.uniform(0, 1.5) * SECOND) if late and dice.random() < 1 / 3 else 0)
         fleet.list_begins(True)
         fleet.server_listed("cold", "up", clock, 1, rating, 0, 0)
@@ -153,7 +153,7 @@
             cold = fleet.servers["cold"]
             while fleet.has_budget(cold, now, 300 * MS):
                 cold.tokens -= 300 * MS
-                if max(now, fleet.up_at) <= fleet.span_ends(cold, now):
+                if max(now, fleet.up_at) <= fleet.budget_deadline(cold, now):
                     asked.append(max(now, fleet.up_at))
     asked.sort()
     first = 0
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -75,7 +75,7 @@
     one class answered, 0.567 to 0.570 wanted. A request was admitted by the usual size of its class, to caches so crowded that a large one
     ran out of time on its only attempt, and took room from others meanwhile."""
     day = Referee([rule()], caches=1, share=1.0, sized="none")
-    day.router.works[0], day.router.spreads[0] = SECOND, int(deviation_s * SECOND)
+    day.router.rule_transfer_times[0], day.router.rule_deviations[0] = SECOND, int(deviation_s * SECOND)
     for ident in range(20):
         day.arrive(ident, obj=f"o{ident}", kb=0, left=left_s * SECOND)
     (cache,) = day.router.pool.caches
