--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -1,8 +1,8 @@
-"""Whether something may be sent, repeated, closed or started now: the one place that says so, for every path of the program.
+"""Whether something may be sent, repeated, closed or started now. All paths of the program ask here.
 
-Each question is a function or a small class that is free of I/O and is told all that it needs. A refusal is a member of an enum, so
-that callers can count and log its reason. Times are whole nanoseconds unless a name ends in `_s`; `docs/design/promises.md` lists the
-promises behind the answers."""
+Each question is a function or a small class without I/O that gets all it needs as arguments. A refusal is an enum member, so that callers
+can count and log its reason. Times are whole nanoseconds unless a name ends in `_s`. `docs/design/promises.md` lists the promises that
+the answers keep."""
 
 from __future__ import annotations
 
@@ -15,55 +15,55 @@
 MS = 1_000_000
 NEVER = 1 << 62
 UP, GONE = "up", "gone"
-REPEAT_MARGIN = 50 * MS  # a repeat's way from its write to its server: what the protocol allows for each time limit
-FRAME_WAIT_S = 2.0  # for the rest of a frame that has begun
+REPEAT_MARGIN = 50 * MS  # for a repeat to reach its server after it is written: what the protocol allows for each time limit
+FRAME_WAIT_S = 2.0  # for the rest of an unfinished frame
 IDLE_WAIT_S = 5.0  # clients close by themselves after 4 s without a request
-AFTER_SHUT_S = 0.5  # for a client's own close after this side was shut
-OUT_OF_ROOM = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-# What `connect` and `socket` say of this machine and not of the server: it speaks against nobody, and nothing was sent. No route is this
-# machine's matter for a moment, and the server's if it lasts.
-OWN_DIAL_FAILURES = OUT_OF_ROOM | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR, errno.EPERM, errno.EACCES}
+AFTER_SHUT_S = 0.5  # for a client to close its side after this side was shut
+RESOURCES_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+# Errors of `connect` and `socket` that this machine causes and not the server: they do not count against the server, and nothing was sent.
+LOCAL_CONNECT_ERRORS = RESOURCES_EXHAUSTED | {errno.EADDRNOTAVAIL, errno.EAGAIN, errno.EINTR, errno.EPERM, errno.EACCES}
+# A missing route is taken for a short failure of this machine at first, and for the server's failure if it lasts.
 NO_ROUTE = frozenset((errno.ENETUNREACH, errno.ENETDOWN))
-ACCEPT_FAILING_S = 0.25  # an accept that fails for less is a passing failure: it is tried again, and nobody pays for it
-TRY_AGAIN_S = 5.0  # a start has 10 s until it has to be ready
-GATE_PATIENCE = 0.4  # share of a request's time left that it may wait at a gate; past half of it a refusal costs the client more
-CROSSING_S = 0.1  # after this side was shut, a client may have a request under way, which it then sends again
+ACCEPT_FAILING_S = 0.25  # a shorter series of failing accepts is retried without closing any connection
+START_RETRY_S = 5.0  # a start has 10 s until it has to be ready
+GATE_WAIT_SHARE = 0.4  # share of its remaining time that a txn may wait at a gate; a rejection after half of it costs the client more
+CROSSING_S = 0.1  # a client may still have sent a request before it saw that this side was shut; it then sends the request again
 
 
 class Refusal(str, Enum):
-    """Why an attempt may not go out, or a request not be taken or sent again."""
+    """Why a hop may not be sent, or a txn may not be taken or repeated."""
 
     SERVER_NOT_UP = "server_not_up"
-    SERVER_MOVED = "server_moved"  # it is listed at another address than the attempt's connection leads to
-    SERVER_RESTARTED = "server_restarted"  # another process stands in its place than the one that the attempt was decided for
+    SERVER_MOVED = "server_moved"  # its listed address differs from the address of the hop's connection
+    SERVER_RESTARTED = "server_restarted"  # since the hop was decided
     SOURCE_NOT_UP = "source_not_up"
     SOURCE_RESTARTED = "source_restarted"
-    PLACEMENT_IN_DOUBT = "placement_in_doubt"  # the fleet may have given the server out for maintenance
-    PURGED_SINCE = "purged_since"  # it would ask for a copy older than a purge
+    PLACEMENT_IN_DOUBT = "placement_in_doubt"  # the fleet may have released the server for maintenance
+    PURGED_SINCE = "purged_since"  # the hop would accept a copy older than a purge
     WAITED_TOO_LONG = "waited_too_long"  # for its connection
-    TOO_LATE_TO_GO = "too_late_to_go"  # past the repeat window, or the span of a slow start that it was charged to
+    TOO_LATE_TO_GO = "too_late_to_go"  # past the repeat window, or past the slow start budget window that the hop was charged to
     DEADLINE_OVER = "deadline_over"
     CLIENT_LEFT = "client_left"
     CONNECTION_ENDED = "connection_ended"
     NOT_IDEMPOTENT = "not_idempotent"
     REPEAT_WINDOW_OVER = "repeat_window_over"
     OTHER_REPEAT_GROUP = "other_repeat_group"
-    OPEN_REQUESTS = "open_requests"  # as many as the settings allow
+    OPEN_REQUESTS = "open_requests"  # as many txns are open as the settings allow
     EVENTS_BEHIND = "events_behind"
     BODY_MEMORY = "body_memory"
 
 
 class GiveUp(str, Enum):
-    """Why a request is given up: its final answer is "refused" or "failed" at once."""
+    """Why a txn is given up, which means that it is rejected or aborted at once."""
 
     TOO_LARGE = "too_large"  # to be sent in its time
     OUT_OF_TIME = "out_of_time"
     ATTEMPTS_SPENT = "attempts_spent"
-    NO_SERVER = "no_server"  # none may be used, or all are too crowded for what it is worth
+    NO_SERVER = "no_server"  # no server may be used, or all are too busy for the worth of the txn
     NO_SOURCE = "no_source"
-    NOT_RETRIED = "not_retried"  # its attempt failed, and a further one is not worth it, or not left
+    NOT_RETRIED = "not_retried"  # its hop failed, and another hop is impossible or not worth its cost
     PROGRAM_ENDS = "program_ends"
-    INTERNAL_ERROR = "internal_error"  # an unforeseen error came while it was handled
+    INTERNAL_ERROR = "internal_error"  # an unforeseen error occurred while the txn was handled
 
 
 class CloseReason(str, Enum):
@@ -77,16 +77,15 @@
     FRAME_MEMORY = "frame memory"
     DESCRIPTORS = "descriptors"
     NO_THREAD = "no thread"
-    NO_OPTIONS = "no options"  # it was reset before it came here
+    NO_OPTIONS = "no options"  # the client reset the connection before its socket options were set
 
 
-# Attempts.
+# Hops.
 
 
 @record(frozen=True)
 class Endpoint:
-    """A listed server as discovery tells it: where it is, its state, and which process it is, by that one's start (Unix ns; 0: it has
-    stood from the first)."""
+    """A server as discovery lists it: its address, its state, and when its process started (Unix ns, 0 where that is unknown)."""
 
     address: tuple[str, int]
     state: str
@@ -94,61 +93,60 @@
 
 
 class HopRules:
-    """What an attempt depends on until it is written: states of endpoints, purges, and how long a dial may take."""
-
-    def __init__(self, dial_limit: int):
-        self.dial_limit = dial_limit
-        self.endpoints: dict[str, Endpoint] = {}  # as listed, by name
-        self.is_uncertain = None  # where routers settle things among themselves: whether an endpoint may not be used now
-        self.purges = 0  # told so far
-        # By object or group, as they were told: (number of the latest purge, when it was told).
+    """What decides whether a hop may still be written: states of endpoints, purges, and the time limit for connecting."""
+
+    def __init__(self, connect_limit: int):
+        self.connect_limit = connect_limit
+        self.endpoints: dict[str, Endpoint] = {}  # listed servers by name
+        self.is_uncertain = None  # set by a fleet: a function that tells whether a server may have been released for maintenance
+        self.purges = 0  # number of purges reported so far
+        # (number of the latest purge, when it was reported) by object or group, in the order of the reports.
         self.purged: OrderedDict[str | int, tuple[int, int]] = OrderedDict()
 
     def listed(self, name: str, address: tuple[str, int], state: str, started: int = 0) -> None:
-        """Discovery told of an endpoint; one that is gone is forgotten, and with it where it was."""
+        """Discovery listed a server. A server that is gone is forgotten, and so is its address."""
         if state == GONE:
             self.endpoints.pop(name, None)
         else:
             self.endpoints[name] = Endpoint(address, state, started)
 
     def add_purge(self, key: str | int, now: int) -> None:
-        """Attempts decided before, and not written, would ask for copies too old. One older than a dial may take is not written at all, so
-        a purge is forgotten after that."""
+        """Hops that were decided before the purge and are not written yet would accept copies that are too old. A hop older than the
+        connect limit is never written, so a purge is dropped after that time."""
         self.purges += 1
         self.purged[key] = self.purges, now
         self.purged.move_to_end(key)
-        while now - self.purged[oldest := next(iter(self.purged))][1] > self.dial_limit:
+        while now - self.purged[oldest := next(iter(self.purged))][1] > self.connect_limit:
             del self.purged[oldest]
 
-    def refusal(self, attempt, now: int) -> Refusal | None:
-        """Why an attempt that was decided a while ago may not go out now. `attempt` has server and source, the starts of both as they
-        were known to who decided, the address of its connection, asked, go_by, cut_at, group, purges and want (None for a probe)."""
-        endpoint = self.endpoints.get(attempt.server)
+    def refusal(self, hop, now: int) -> Refusal | None:
+        """Why a hop that was decided a while ago may not be written now. Its `want` is None for a probe."""
+        endpoint = self.endpoints.get(hop.server)
         if endpoint is None or endpoint.state != UP:
             return Refusal.SERVER_NOT_UP
-        if endpoint.address != attempt.address:
+        if endpoint.address != hop.address:
             return Refusal.SERVER_MOVED
-        if endpoint.started != attempt.server_start:
+        if endpoint.started != hop.server_start:
             return Refusal.SERVER_RESTARTED
-        if now - attempt.decided_at > self.dial_limit:
+        if now - hop.decided_at > self.connect_limit:
             return Refusal.WAITED_TOO_LONG
-        if now > attempt.go_by:
+        if now > hop.go_by:
             return Refusal.TOO_LATE_TO_GO
-        if now >= attempt.cut_at > 0:
+        if now >= hop.cut_at > 0:
             return Refusal.DEADLINE_OVER
-        source = attempt.source
+        source = hop.source
         if source is not None:
             endpoint = self.endpoints.get(source)
             if endpoint is None or endpoint.state != UP:
                 return Refusal.SOURCE_NOT_UP
-            if endpoint.started != attempt.source_start:
+            if endpoint.started != hop.source_start:
                 return Refusal.SOURCE_RESTARTED
-        if self.is_uncertain is not None and (self.is_uncertain(attempt.server) or source is not None and self.is_uncertain(source)):
+        if self.is_uncertain is not None and (self.is_uncertain(hop.server) or source is not None and self.is_uncertain(source)):
             return Refusal.PLACEMENT_IN_DOUBT
         if (
             self.purged
-            and attempt.want is not None
-            and attempt.purges < max(self.purged.get(attempt.want.obj, (0, 0))[0], self.purged.get(attempt.group, (0, 0))[0])
+            and hop.want is not None
+            and hop.purges < max(self.purged.get(hop.want.obj, (0, 0))[0], self.purged.get(hop.group, (0, 0))[0])
         ):
             return Refusal.PURGED_SINCE
         return None
@@ -157,80 +155,80 @@
 # Repeats.
 
 
-def repeat_refusal(rule, ran: list, server, now: int) -> Refusal | None:
-    """Why a request may not go to `server` after the attempts in `ran`, each of which may have run: an effect would happen twice."""
-    if not ran or rule.kind == "repeatable":
+def repeat_refusal(rule, earlier_hops: list, server, now: int) -> Refusal | None:
+    """Why a txn may not go to `server`: after `earlier_hops`, each of which may have run, it could take effect twice."""
+    if not earlier_hops or rule.kind == "repeatable":
         return None
     if rule.kind == "unrepeatable":
         return Refusal.NOT_IDEMPOTENT
-    if now - ran[0].sent >= rule.dedup_window - REPEAT_MARGIN:
+    if now - earlier_hops[0].sent >= rule.dedup_window - REPEAT_MARGIN:
         return Refusal.REPEAT_WINDOW_OVER
-    same = all(
+    same_scope = all(
         rule.dedup_scope == "all"
-        or (rule.dedup_scope == "zone" and server.zone == attempt.server.zone)
-        or (rule.dedup_scope == "cell" and server.cell == attempt.server.cell)
-        for attempt in ran
+        or (rule.dedup_scope == "zone" and server.zone == hop.server.zone)
+        or (rule.dedup_scope == "cell" and server.cell == hop.server.cell)
+        for hop in earlier_hops
     )
-    return None if same else Refusal.OTHER_REPEAT_GROUP
+    return None if same_scope else Refusal.OTHER_REPEAT_GROUP
 
 
-def repeat_deadline(rule, ran: list) -> int:
-    """By when a further attempt has to be written; NEVER where nothing limits it."""
-    if rule.kind != "keyed" or not ran:
+def repeat_deadline(rule, earlier_hops: list) -> int:
+    """When a further hop has to be written at the latest; NEVER where the rule sets no limit."""
+    if rule.kind != "keyed" or not earlier_hops:
         return NEVER
-    return min(attempt.sent for attempt in ran) + rule.dedup_window - REPEAT_MARGIN
+    return min(hop.sent for hop in earlier_hops) + rule.dedup_window - REPEAT_MARGIN
 
 
-def may_promise_no_effect(rule, ran: list) -> bool:
-    """Whether "refused", which says that trying again is harmless, may be answered after the attempts in `ran`."""
-    return rule.kind == "repeatable" or not ran or (rule.kind == "keyed" and rule.dedup_scope == "all")
+def may_promise_no_effect(rule, earlier_hops: list) -> bool:
+    """Whether "rejected", which tells the client that a retry is harmless, may be answered after hops that may have run."""
+    return rule.kind == "repeatable" or not earlier_hops or (rule.kind == "keyed" and rule.dedup_scope == "all")
 
 
-# Requests.
+# Admission.
 
 
 def admission_refusal(
-    open_requests: int, most_open: int, queued: int, most_queued: int, body_bytes: int, most_bytes: int
+    open_txns: int, max_open_txns: int, queued_events: int, max_queued_events: int, body_bytes: int, max_body_bytes: int
 ) -> Refusal | None:
-    """Why a further request is refused at once. `body_bytes`: of all open ones, this one included."""
-    if open_requests >= most_open:
+    """Why a further txn is rejected at once. `body_bytes`: the bodies of all open txns, including this one."""
+    if open_txns >= max_open_txns:
         return Refusal.OPEN_REQUESTS
-    if queued >= most_queued:
+    if queued_events >= max_queued_events:
         return Refusal.EVENTS_BEHIND
-    if body_bytes > most_bytes:
+    if body_bytes > max_body_bytes:
         return Refusal.BODY_MEMORY
     return None
 
 
-# Clients' connections.
+# Client connections.
 
 
 @record()
 class ClientState:
-    """A client's connection as the sweep sees it; times in seconds of one clock."""
-
-    shut_at: float  # since when this side is shut, 0 while it is not
-    open_requests: bool
-    writing: bool  # answers wait for the client to read
-    failed: bool  # it sent what can't be read
-    held: int  # bytes of an unfinished frame
-    since: float  # when that frame began, or the connection could not be read, or was accepted
+    """State of a client's connection when the sweep checks it. Times are seconds of one clock."""
+
+    shut_at: float  # when this side was shut, 0 while it is not
+    has_open_txns: bool
+    writing: bool  # answers wait for the client to read them
+    failed: bool  # the client sent something unreadable
+    unfinished_bytes: int  # received bytes of an unfinished frame
+    since: float  # when that frame began, when reading failed, or when the connection was accepted
     idle_since: float  # when something was last written
-    proved: bool  # has sent a request that could be used
+    proved: bool  # the client has sent a valid request
 
 
 def close_reason(client: ClientState, now: float, no_reader_s: float) -> CloseReason | None:
-    """Why a connection is to be closed now, if it is. One that owes an answer is never closed for being slow alone."""
+    """Why a connection is to be closed now, or None. A client that waits for an answer is never closed only because it is slow."""
     waited, idle = now - client.since, now - client.idle_since
     if client.shut_at:
         return CloseReason.AFTER_SHUT if now - client.shut_at > AFTER_SHUT_S else None
-    if client.open_requests:
-        return CloseReason.HALF_FRAME if client.held and waited > FRAME_WAIT_S else None
+    if client.has_open_txns:
+        return CloseReason.HALF_FRAME if client.unfinished_bytes and waited > FRAME_WAIT_S else None
     if client.writing:
         return CloseReason.NO_READER if idle > no_reader_s else None
     if client.failed:
         return CloseReason.UNREADABLE if waited > AFTER_SHUT_S else None
-    if client.held:
+    if client.unfinished_bytes:
         return CloseReason.HALF_FRAME if waited > FRAME_WAIT_S else None
     return CloseReason.IDLE if idle > (IDLE_WAIT_S if client.proved else FRAME_WAIT_S) else None
 
@@ -238,85 +236,86 @@
 # Connections to servers.
 
 
-def counts_against_server(number: int | None) -> bool:
-    """Whether a dial that failed with that errno to its end says something of the server, and not of this machine."""
-    return number not in OWN_DIAL_FAILURES
+def counts_against_server(error_number: int | None) -> bool:
+    """Whether a connect that finally failed with this errno is the server's failure, and not this machine's."""
+    return error_number not in LOCAL_CONNECT_ERRORS
 
 
-def may_redial(number: int | None, left_s: float) -> bool:
-    """Whether a dial that failed with that errno is tried again, with so much of its time left."""
-    return left_s > 0 and (number in OWN_DIAL_FAILURES or number in NO_ROUTE)
+def may_redial(error_number: int | None, left_s: float) -> bool:
+    """Whether a connect that failed with this errno is tried again. `left_s`: the rest of its time."""
+    return left_s > 0 and (error_number in LOCAL_CONNECT_ERRORS or error_number in NO_ROUTE)
 
 
 # The listener.
 
 
 class AcceptFailures:
-    """What a failing accept means. A failure that passes costs nobody a connection: whoever waits, waits in the system's queue. Only
-    where room is short for a while do clients that rest make some."""
+    """Decides what a failing accept requires. A short failure closes no connection: new clients wait in the system's backlog. Only when
+    resources stay exhausted are idle clients closed to free descriptors."""
 
     def __init__(self):
-        self.failing_since = 0.0  # 0: room is not short
-        self.made = False  # room was made since the last accept that succeeded
+        self.failing_since = 0.0  # 0: resources are not exhausted
+        self.freed = False  # descriptors were freed since the last accept that succeeded
 
     def succeeded(self) -> None:
-        """An accept gave a connection; where room had to be made for it, room is as short as before."""
-        if not self.made:
+        """An accept succeeded. If descriptors had to be freed for it, resources count as exhausted still."""
+        if not self.freed:
             self.failing_since = 0.0
-        self.made = False
+        self.freed = False
 
-    def should_free_descriptors(self, number: int | None, now: float) -> bool:
-        """After an accept that failed with that errno: whether clients that rest are to be let go for it."""
-        if number not in OUT_OF_ROOM:
+    def should_free_descriptors(self, error_number: int | None, now: float) -> bool:
+        """Whether idle clients are to be closed after an accept that failed with this errno."""
+        if error_number not in RESOURCES_EXHAUSTED:
             return False
         self.failing_since = self.failing_since or now
-        self.made |= now - self.failing_since >= ACCEPT_FAILING_S
-        return self.made
+        self.freed |= now - self.failing_since >= ACCEPT_FAILING_S
+        return self.freed
 
 
 def may_cut(shut_at: float, now: float) -> bool:
-    """Whether a connection whose side was shut then may be cut off for its descriptor, without harm to what crosses the shut."""
+    """Whether a connection that was shut at `shut_at` may be cut off to free its descriptor: a request sent before the client saw the
+    shutdown has arrived by then."""
     return now - shut_at > CROSSING_S
 
 
 # Starts and reloads.
 
 
-def may_try_again(number: int | None, tried_s: float) -> bool:
-    """Whether what a start or a reload asked of the system, and did not get, is asked for again: room that is short for a moment."""
-    return number in OUT_OF_ROOM and tried_s < TRY_AGAIN_S
+def may_try_again(error_number: int | None, tried_s: float) -> bool:
+    """Whether a start or a reload tries a failed system call again, because resources may be exhausted for a moment only."""
+    return error_number in RESOURCES_EXHAUSTED and tried_s < START_RETRY_S
 
 
-# Requests that come before the list of servers is known.
+# Txns that come before the list of servers is known.
 
 
 class StartupGate:
-    """ClosedGate until discovery has caught up after a start, for `wait` at the longest. A router that has just started has the list of its
-    file, which may be older than what discovery holds: it decides nothing on it before."""
+    """Closed until discovery has caught up after a start, for `wait` ns at the longest. A router that has just started has the list of
+    its file, which may be older than what discovery has, and makes no decisions with it before."""
 
-    def __init__(self, now: int, wait: int, most: int):
-        self.shut_at, self.opens_at, self.most = now, now + wait, most  # most: requests that wait at a time
+    def __init__(self, now: int, wait: int, max_waiting: int):
+        self.shut_at, self.opens_at, self.max_waiting = now, now + wait, max_waiting
 
-    def wait_until(self, now: int, limit_at: int, waiting: int) -> int:
-        """Until when a request may wait; it is given up then, unless the gate has opened. Not past `now`: at once."""
-        if waiting >= self.most:
+    def wait_until(self, now: int, deadline: int, waiting: int) -> int:
+        """How long a txn may wait for the gate to open before it is given up. A time that is not after `now` means at once."""
+        if waiting >= self.max_waiting:
             return now
-        return min(now + int((limit_at - now) * GATE_PATIENCE), self.opens_at + max(0, limit_at - self.opens_at) // 2)
+        return min(now + int((deadline - now) * GATE_WAIT_SHARE), self.opens_at + max(0, deadline - self.opens_at) // 2)
 
 
 class ClosedGate:
-    """ClosedGate until somebody opens it: a router that can't know which servers it may use turns requests away at once."""
+    """Closed until it is replaced: a router that can't know which servers it may use rejects txns at once."""
 
     def __init__(self):
         self.shut_at = 0
 
-    def wait_until(self, now: int, limit_at: int, waiting: int) -> int:
+    def wait_until(self, now: int, deadline: int, waiting: int) -> int:
         return now
 
 
 # The program's end.
 
 
-def may_exit(all_shut: bool, open_requests: int, answers_owed: bool) -> bool:
-    """Whether an ending program may leave: nothing can be taken any more, and nothing is owed."""
-    return all_shut and not open_requests and not answers_owed
+def may_exit(all_shut: bool, open_txns: int, answers_owed: bool) -> bool:
+    """Whether an ending program may exit: no connection can bring a request, and no answer is owed."""
+    return all_shut and not open_txns and not answers_owed
