--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -49,7 +49,7 @@
     "def other(self):\n    found = line(self)\n    value = found['register']['decided'][1]\n"
     "    if value and not self.coordinator.is_active:\n"
     "        found['register']['decided'][1] = (value[0], tuple((*o[:-1], 'mine') for o in value[1]), value[2])\n"
-    "    return found\nNode.line = other\n",
+    "    return found\nMember.line = other\n",
 }
 # So that something is open at each cache at any moment, and no later than what routers take as usual: of 400 ms they turned a twentieth
 # away, and a location that turns txns away lends no machine, so that orders waited to the end on a slow machine and nothing was found.
