--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -29,7 +29,7 @@
         self.ports = [free_port(HOST) for _ in range(count)]
         self.links = {(a, b): Link((HOST, self.ports[b])) for a in range(count) for b in range(count) if a != b}
         self.clocks = [SettableClock(folder / f"clock{n}") for n in range(count)]
-        self.caches, self.board = [Cache() for _ in range(caches)], Notices()
+        self.caches, self.discovery = [Cache() for _ in range(caches)], Notices()
         self.services = [self.start(n) for n in range(count)]
         self.replaced_services = []
 
@@ -55,7 +55,7 @@
         quick_settings["guarantees"] |= {"rampTimeUs": 1_000_000}  # the slow start of a cache
         quick_settings["familyInfo"] |= {"parentRampUs": 1_000_000}
         env = self.clocks[n].env | (self.shims[n].env if self.shims else {})
-        return Service(self.folder / f"r{n}", self.caches, self.board, operators, name=self.names[n], settings=quick_settings, env=env)
+        return Service(self.folder / f"r{n}", self.caches, self.discovery, operators, name=self.names[n], settings=quick_settings, env=env)
 
     def restart(self, n):
         self.replaced_services.append(self.services[n])
