--- a/fieldspur/net/connection_pool.py
+++ b/fieldspur/net/connection_pool.py
@@ -47,14 +47,16 @@
         """Applies a list change, called by the discovery thread. Endpoints change under the same lock under which hops get their
         connections: a connection to an old address is either made before and retired here, or not made at all."""
         with self.lock:
-            before = self.endpoints.get(name)
+            previous = self.endpoints.get(name)
             self.rules.listed(name, address, state, started)
-            now = self.endpoints.get(name)
-            outdated = [connection for connection in self.connections.get(name, ()) if now is None or now.address != connection.address]
+            current = self.endpoints.get(name)
+            outdated = [
+                connection for connection in self.connections.get(name, ()) if current is None or current.address != connection.address
+            ]
             for connection in outdated:
                 connection.retired = True  # its open hops may end
-        if before is None or before.state != state:
-            log.info("endpoint", extra={"kv": {"server": name, "state": state, "was": before.state if before else "-"}})
+        if previous is None or previous.state != state:
+            log.info("endpoint", extra={"kv": {"server": name, "state": state, "was": previous.state if previous else "-"}})
         for connection in outdated:
             connection.close_if_unused()
 
@@ -62,7 +64,7 @@
         """Queues the hop on a connection and returns that connection, on which the caller then calls `write_queued`. The hop's end is
         reported later in any case."""
         connections = self.connections.get(hop.server, ())[:2]  # a copy: another thread may remove a connection
-        if len(connections) == 1 and not self.last_break_at and hop.server in self.endpoints and connections[0].enqueue(hop, sure=False):
+        if len(connections) == 1 and not self.last_break_at and hop.server in self.endpoints and connections[0].enqueue(hop, checked=False):
             return connections[0]  # the ordinary case; the code below handles all cases
         while True:
             connection = self.connection_for(hop)
--- a/fieldspur/net/discovery.py
+++ b/fieldspur/net/discovery.py
@@ -83,12 +83,12 @@
 
     def __init__(self, server_address: tuple[str, int], subscriber, seed: int):
         self.server_address, self.subscriber, self.random = server_address, subscriber, random.Random(seed)
-        self.known: list = []  # events from a new configuration, not handled yet
+        self.config_events: list = []  # events from a new configuration, not handled yet
         self.address_changed = threading.Event()  # set until `run` has noticed the change
         self.caught_up = threading.Event()  # set once all past events have arrived without a gap
         self.sock: socket.socket | None = None  # the current connection
         self.read_lock = threading.Lock()  # held from a read until its events are passed to the subscriber
-        self.thread = 0  # ident of the thread that reads
+        self.thread_ident = 0  # ident of the thread that reads
         self.last_line_at = time.monotonic()  # when the last whole line arrived
         self.longest_wait = 0.0  # the longest wait in `wait_until_caught_up`, in seconds; the reader of this counter resets it
         self.excused_line_at = 0.0  # the `last_line_at` at which a wait timed out; until the next line nobody waits again
@@ -153,7 +153,7 @@
         This guards against writing a hop by an outdated list when the process was stopped, or its other threads had the CPU, between
         the arrival of a list change and the write. If the service stays silent for longer, nobody waits again until its next line:
         the router continues with the list that it has."""
-        if threading.get_ident() == self.thread:
+        if threading.get_ident() == self.thread_ident:
             return
         began = time.monotonic()
         while True:
@@ -167,9 +167,9 @@
                 return
             time.sleep(CATCH_UP_POLL_S)
 
-    def apply_initial_events(self, known: list, last_number: int) -> None:
+    def apply_initial_events(self, config_events: list, last_number: int) -> None:
         """Applies the events from the configuration, before any thread runs."""
-        for index, value in enumerate(known):
+        for index, value in enumerate(config_events):
             self.deliver(self.parse_event(Section(value, f"known.notices[{index}]")), at_start=True)
         self.last_number = last_number
 
@@ -191,9 +191,9 @@
         self.last_number = value["rev"]  # set first, so that an event with unusable content is not requested again
         self.deliver(self.parse_event(Section(value, "event")))
 
-    def change_address(self, server_address: tuple[str, int], known: list) -> None:
+    def change_address(self, server_address: tuple[str, int], config_events: list) -> None:
         """Switches to another address after a new configuration, with that configuration's events. Any thread may call it at any time."""
-        self.server_address, self.known = server_address, known
+        self.server_address, self.config_events = server_address, config_events
         self.address_changed.set()
         sock = self.sock
         try:
@@ -204,22 +204,22 @@
 
     def run(self) -> None:
         """The thread that reads: connects again and again, with a pause after each connection that ended."""
-        self.thread = threading.get_ident()
+        self.thread_ident = threading.get_ident()
         wait = MIN_RECONNECT_S
         while True:
-            before = self.last_number
+            number_before = self.last_number
             if self.address_changed.is_set():
                 self.address_changed.clear()
                 wait = MIN_RECONNECT_S
             try:
-                for value in self.known:
+                for value in self.config_events:
                     if isinstance(value, dict) and value.get("rev") == self.last_number + 1:
                         self.handle_event(value)
                 self.watch()
                 reason = "moved" if self.address_changed.is_set() else "closed"
             except (OSError, ValueError, RecursionError, ConfigError, EventGap) as error:
                 reason = str(error) or type(error).__name__
-            wait = MIN_RECONNECT_S if self.last_number > before else min(MAX_RECONNECT_S, 2 * wait)
+            wait = MIN_RECONNECT_S if self.last_number > number_before else min(MAX_RECONNECT_S, 2 * wait)
             self.log_lost(reason)
             self.address_changed.wait(wait * self.random.uniform(0.5, 1.0))
 
--- a/fieldspur/net/server_connection.py
+++ b/fieldspur/net/server_connection.py
@@ -82,10 +82,10 @@
     reader_wait_bytes: int = 0  # it waits until the reader has processed that many bytes of everything the client sent
 
 
-def limit_unsent(sock: socket.socket, unsent: int = UNSENT_LIMIT) -> None:
+def limit_unsent(sock: socket.socket, limit: int = UNSENT_LIMIT) -> None:
     """Limits how much unsent data the system accepts, so that the rest waits in the router, where it can still be taken back."""
     try:
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, unsent)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, limit)
     except (OSError, AttributeError):
         pass  # this system has no such option: up to a socket buffer of messages can't be taken back once written
 
@@ -142,10 +142,11 @@
         if len(self.used_names) > MAX_USED_NAMES:
             self.older_used_names, self.used_names = self.used_names, {}
 
-    def enqueue(self, hop: Hop, sure: bool = True) -> bool:
-        """Queues the hop for the next `write_queued`. Returns False if the connection is ending or, unless `sure`, can't accept the hop."""
+    def enqueue(self, hop: Hop, checked: bool = True) -> bool:
+        """Queues the hop for the next `write_queued`. Returns False if the connection is ending. Unless `accepts` was `checked` before, it
+        is checked here, and False is returned if the connection does not accept the hop."""
         with self.lock:
-            if self.closed or not sure and not self.accepts(hop):
+            if self.closed or not checked and not self.accepts(hop):
                 return False
             hop.connection, hop.address = self, self.address
             self.open_hops[hop.name] = hop
