--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,14 +13,14 @@
 import pytest
 from helpers import Cache, Notices, SettableClock, clock, pause, sender, until
 from test_crossings import connect_client, make_listener, open_txn_with_hop, staying_client_writer
-from test_first_bytes import route_to, row
+from test_first_bytes import listed_server, make_router_host
 
 from fieldspur import operators
 from fieldspur.__main__ import files_of
 from fieldspur.decide import MS, SECOND
 from fieldspur.lab.soak import shim
-from fieldspur.net import discovery as board_module
-from fieldspur.net import server_connection as lane_module
+from fieldspur.net import discovery as discovery_module
+from fieldspur.net import server_connection as server_connection_module
 from fieldspur.net.client_listener import ClientConnection
 from fieldspur.net.client_writer import AnswerSender
 from fieldspur.net.discovery import DiscoveryClient, ListChange
@@ -44,7 +44,7 @@
         return getattr(self.listener, name)
 
 
-class Closing:
+class ClosedDuringPoll:
     """A socket that its owner closes, by `end`, between two looks at its descriptor, unless the look keeps it from that."""
 
     def __init__(self, sock, end, wait=0.2):
@@ -90,14 +90,14 @@
     connect = socket.socket.connect
     monkeypatch.setattr(socket.socket, "connect", lambda sock, where: (time.sleep(0.4), connect(sock, where)))
     cache = Cache(lambda want: None)
-    send = sender(cache.address)
-    send.enqueue(taken_with_limit(send, 3000)).write_queued()  # its connection comes up late
+    pool = sender(cache.address)
+    pool.enqueue(hop_with_limit(pool, 3000)).write_queued()  # its connection comes up late
     until(lambda: cache.wants)
-    other = taken_with_limit(send, 3000, ident=6, taken_ms_ago=50)
-    client_writer = send.open_txns.by_id[6].client_writer
+    other = hop_with_limit(pool, 3000, ident=6, taken_ms_ago=50)
+    client_writer = pool.open_txns.by_id[6].client_writer
     client_writer.client_sock.sendall(b"half a frame")
     until(lambda: receive_poll(client_writer.sock).poll(0))
-    send.enqueue(other).write_queued()  # it waits for its client's reader
+    pool.enqueue(other).write_queued()  # it waits for its client's reader
     time.sleep(0.4)
     assert client_writer.waiting_hops == [other]
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
@@ -151,13 +151,13 @@
 def test_a_cancel_that_came_while_an_attempt_waited_for_a_slow_reader_is_heeded():
     """Found by the soak (seed 207): an attempt begun 181 ms after its client had left. It waited once, whatever came meanwhile."""
     cache = Cache(lambda want: None)
-    send = sender(cache.address)
-    attempt = taken_with_limit(send, 3000, ident=6, taken_ms_ago=50)
-    client_writer = send.open_txns.by_id[6].client_writer
+    pool = sender(cache.address)
+    attempt = hop_with_limit(pool, 3000, ident=6, taken_ms_ago=50)
+    client_writer = pool.open_txns.by_id[6].client_writer
     client_writer.client_sock.sendall(b"request")
     until(lambda: receive_poll(client_writer.sock).poll(0))
-    lane = send.enqueue(attempt)
-    lane.write_queued()
+    connection = pool.enqueue(attempt)
+    connection.write_queued()
     until(lambda: client_writer.waiting_hops == [attempt])
     time.sleep(0.15)  # its reader works for others meanwhile
     client_writer.client_sock.sendall(b"cancel")
@@ -166,28 +166,30 @@
     client_writer.release_waiting()
     assert client_writer.waiting_hops == [attempt] and not attempt.written_at
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
-    send.open_txns.by_id.pop(6)
-    send.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
+    pool.open_txns.by_id.pop(6)
+    pool.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
     client_writer.release_waiting()
-    assert not attempt.written_at and not cache.wants and lane.connected
+    assert not attempt.written_at and not cache.wants and connection.connected
 
 
 def test_a_dial_that_fails_on_this_machine_for_a_moment_is_tried_again_and_speaks_against_no_server(monkeypatch):
     for call, numbers in (("connect", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN]), ("socket", [errno.ENFILE, errno.ENOBUFS])):
         cache = Cache(lambda want: None)
-        send = sender(cache.address)
-        attempt = taken_with_limit(send, 3000)
+        pool = sender(cache.address)
+        attempt = hop_with_limit(pool, 3000)
         with monkeypatch.context() as patched:
             if call == "connect":
-                patched.setattr(socket.socket, "connect", failing(socket.socket.connect, numbers))
+                patched.setattr(socket.socket, "connect", fails_first(socket.socket.connect, numbers))
             else:
-                patched.setattr(lane_module, "socket", SimpleNamespace(**vars(socket) | {"socket": failing(socket.socket, numbers)}))
-            send.enqueue(attempt).write_queued()
+                patched.setattr(
+                    server_connection_module, "socket", SimpleNamespace(**vars(socket) | {"socket": fails_first(socket.socket, numbers)})
+                )
+            pool.enqueue(attempt).write_queued()
             until(lambda: cache.wants, limit=3)
-        assert not numbers and not send.host.posted
+        assert not numbers and not pool.host.posted
 
 
-def failing(real, numbers):
+def fails_first(real, numbers):
     """A call that fails with each of these numbers before it does as it should."""
 
     def call(*about):
@@ -198,9 +200,9 @@
     return call
 
 
-def taken_with_limit(send, left_ms, ident=5, taken_ms_ago=0):
+def hop_with_limit(pool, left_ms, ident=5, taken_ms_ago=0):
     """An attempt of a request that was taken so long ago and has so long left; its client stays."""
-    hop = open_txn_with_hop(send, staying_client_writer(send), ident=ident, taken_ms_ago=taken_ms_ago)
+    hop = open_txn_with_hop(pool, staying_client_writer(pool), ident=ident, taken_ms_ago=taken_ms_ago)
     hop.want.limit_ms, hop.cut_at = left_ms, clock() + left_ms * MS
     return hop
 
@@ -227,16 +229,16 @@
 
 def test_a_server_that_starts_is_in_slow_start_from_its_telling_on_however_the_wall_clock_was_stepped(monkeypatch):
     cache, real = Cache(), time.time_ns
-    _, route = route_to(cache)
+    _, router_host = make_router_host(cache)
     for number, step in enumerate((3600, 30, 3, -3, -3600), 1):
         monkeypatch.setattr(time, "time_ns", lambda step=step: real() + step * SECOND)
-        told = replace(row(cache, "up"), name=f"c{number}", started=real() // MS * MS)
+        told = replace(listed_server(cache, "up"), name=f"c{number}", started=real() // MS * MS)
         began = clock()
-        route.list_received(ListChange(False, (told,)))
-        assert began - 100 * MS <= route.router.pool.servers[told.name].started <= clock(), f"a step of {step} s"
+        router_host.list_received(ListChange(False, (told,)))
+        assert began - 100 * MS <= router_host.router.pool.servers[told.name].started <= clock(), f"a step of {step} s"
         later = replace(told, name=f"d{number}", started=clock() + 300 * MS)  # told ahead of its start
-        route.list_received(ListChange(False, (later,)))
-        assert route.router.pool.servers[later.name].started == later.started
+        router_host.list_received(ListChange(False, (later,)))
+        assert router_host.router.pool.servers[later.name].started == later.started
 
 
 # Discovery, files, the start.
@@ -245,7 +247,7 @@
 def test_a_look_at_a_watch_that_ends_meanwhile_breaks_no_connection_to_a_server(monkeypatch):
     """It ends for its silence, without the lock of the look. The ValueError of a closed descriptor was taken for the end of the
     connection that was to be written to."""
-    monkeypatch.setattr(board_module, "SILENCE_LIMIT_S", 0.3)
+    monkeypatch.setattr(discovery_module, "SILENCE_LIMIT_S", 0.3)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         board = DiscoveryClient(listener.getsockname(), SimpleNamespace(start_batch=lambda: None, finish_batch=lambda: None), 1)
         threading.Thread(target=lambda: pytest.raises(TimeoutError, board.watch), daemon=True).start()
@@ -253,7 +255,7 @@
         assert there.recv(100) == b"watch 0\n"
 
         board.excused_line_at = board.last_line_at
-        board.sock = look = Closing(real, lambda: until(lambda: real.fileno() < 0, limit=2), wait=0.6)
+        board.sock = look = ClosedDuringPoll(real, lambda: until(lambda: real.fileno() < 0, limit=2), wait=0.6)
         with board.read_lock:
             assert board.may_be_behind() is False
         look.ending.join()
@@ -357,7 +359,7 @@
     client = ClientConnection(
         SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000, connection_freed=lambda client: None), here
     )
-    client.sock = Closing(here, client.client_writer.reader_ended)
+    client.sock = ClosedDuringPoll(here, client.client_writer.reader_ended)
     assert client.has_unread_bytes() is False
     client.sock.ending.join()
     assert client.has_unread_bytes() is False and here.fileno() < 0
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -8,7 +8,7 @@
 
 import pytest
 from helpers import Cache, Listener, Notices, Stalled, clock, endpoint, readers_held, sender, until
-from test_path import go, want
+from test_path import enqueue_and_write, make_want
 
 from fieldspur.net import resp
 from fieldspur.net.discovery import DiscoveryClient, ListChange, ListedServer
@@ -19,9 +19,9 @@
 from fieldspur.site import MS
 
 
-def hop(number, source=None, name=None, group=7, purges=0, body=b""):
+def make_hop(number, source=None, name=None, group=7, purges=0, body=b""):
     name = name or f"{number:016x}"
-    return Hop(number, 0, name, "c0", source, want(name, body), clock(), 0, group, purges)
+    return Hop(number, 0, name, "c0", source, make_want(name, body), clock(), 0, group, purges)
 
 
 # A start.
@@ -96,23 +96,23 @@
 # Hops that wait in a connection.
 
 
-def fill(send, cache, count=60, **about):
+def fill_socket(pool, cache, count=60, **hop_options):
     """A connection with a hop that was answered, a server that stopped reading, and hops behind that wait."""
-    first = hop(1)
-    lane = go(send, first)
-    until(lambda: send.host.posted)
+    first = make_hop(1)
+    connection = enqueue_and_write(pool, first)
+    until(lambda: pool.host.posted)
     cache.go_on.clear()
-    lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    hops = [hop(n, body=b"w" * 48_000, **about) for n in range(2, 2 + count)]
-    for one in hops:
-        assert go(send, one) is lane
-    until(lambda: lane.rest_writer_active)
-    return lane, hops
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    hops = [make_hop(n, body=b"w" * 48_000, **hop_options) for n in range(2, 2 + count)]
+    for hop in hops:
+        assert enqueue_and_write(pool, hop) is connection
+    until(lambda: connection.rest_writer_active)
+    return connection, hops
 
 
-def next_of(one):
+def next_hop_of(hop):
     """The txn's next hop, to another server."""
-    further = hop(one.ident, name=one.name)
+    further = make_hop(hop.ident, name=hop.name)
     further.number, further.server = 1, "c1"
     return further
 
@@ -121,23 +121,23 @@
 def test_the_next_hop_waits_until_a_server_with_a_full_socket_can_be_told_that_the_one_before_is_given_up(then):
     """Of the first hop a part is there. One hop outstanding at a time: its rest and its end go out before the next one does."""
     cache, other = Stalled(), Cache(lambda want: None)
-    send = sender(cache.address, c1=other.address)
-    lane, hops = fill(send, cache)
-    cut = lane.partial_hop
-    assert lane.unwritten and cut.written_at
-    free = next(one for one in hops if not one.written_at)  # never went out: nobody need be told
-    for one in (cut, free):
-        assert send.give_up(one, clock())
-    lane.write_queued()
-    for one in (free, cut):
-        go(send, next_of(one))
+    pool = sender(cache.address, c1=other.address)
+    connection, hops = fill_socket(pool, cache)
+    cut = connection.partial_hop
+    assert connection.unwritten and cut.written_at
+    free = next(hop for hop in hops if not hop.written_at)  # never went out: nobody need be told
+    for hop in (cut, free):
+        assert pool.give_up(hop, clock())
+    connection.write_queued()
+    for hop in (free, cut):
+        enqueue_and_write(pool, next_hop_of(hop))
     until(lambda: other.wants)
-    assert [want["id"] for want in other.wants] == [free.name] and not send.waiting_for_cancel[cut.ident].written_at
+    assert [want["id"] for want in other.wants] == [free.name] and not pool.waiting_for_cancel[cut.ident].written_at
     if then == "ends":
-        lane.shut_down()
+        connection.shut_down()
     cache.go_on.set()
     until(lambda: len(other.wants) == 2)
-    assert other.wants[1]["id"] == cut.name and not send.undelivered_cancels and not send.waiting_for_cancel
+    assert other.wants[1]["id"] == cut.name and not pool.undelivered_cancels and not pool.waiting_for_cancel
     if then == "reads on":
         until(lambda: cache.given_up == [cut.name])
         assert cut.name in [want["id"] for want in cache.wants]
@@ -146,39 +146,39 @@
 def test_a_server_that_has_reset_its_connection_and_can_t_be_told_holds_up_nothing(monkeypatch):
     """Found on roll+brink and split+brink: the word met the reset before the connection's reader did, and the next hop waited for ever."""
     held, cache, other = readers_held(monkeypatch), Cache(lambda want: None), Cache(lambda want: None)
-    send = sender(cache.address, c1=other.address)
-    one = hop(1)
-    lane = go(send, one)
+    pool = sender(cache.address, c1=other.address)
+    hop = make_hop(1)
+    connection = enqueue_and_write(pool, hop)
     until(lambda: cache.wants)
     cache.reset()
-    until(lambda: any(event & select.POLLHUP for _, event in receive_poll(lane.sock).poll(0)))
-    assert send.give_up(one, clock())
-    lane.write_queued()
-    go(send, next_of(one))
+    until(lambda: any(event & select.POLLHUP for _, event in receive_poll(connection.sock).poll(0)))
+    assert pool.give_up(hop, clock())
+    connection.write_queued()
+    enqueue_and_write(pool, next_hop_of(hop))
     held.set()
     until(lambda: other.wants, limit=5)
-    assert not send.undelivered_cancels and not send.waiting_for_cancel
+    assert not pool.undelivered_cancels and not pool.waiting_for_cancel
 
 
 def test_a_server_that_takes_nothing_more_is_told_at_once_where_the_system_has_room():
     """Beyond what is kept back in the router so that it may be taken back, the system holds some more: for words of three lines."""
     cache, other = Stalled(), Cache(lambda want: None)
-    send = sender(cache.address, c1=other.address)
-    first = hop(1)
-    lane = go(send, first)
-    until(lambda: send.host.posted)
+    pool = sender(cache.address, c1=other.address)
+    first = make_hop(1)
+    connection = enqueue_and_write(pool, first)
+    until(lambda: pool.host.posted)
     cache.go_on.clear()
-    hops = [hop(n, body=b"w" * 2000) for n in range(2, 3000)]
-    for one in hops:
-        if lane.rest_writer_active:
+    hops = [make_hop(n, body=b"w" * 2000) for n in range(2, 3000)]
+    for hop in hops:
+        if connection.rest_writer_active:
             break
-        go(send, one)
-    last = [one for one in hops if one.written_at][-1]
-    assert lane.rest_writer_active and not lane.unwritten
-    assert send.give_up(last, clock())
-    lane.write_queued()
-    assert not lane.cancels and not send.undelivered_cancels and lane.rest_writer_active
-    go(send, next_of(last))
+        enqueue_and_write(pool, hop)
+    last = [hop for hop in hops if hop.written_at][-1]
+    assert connection.rest_writer_active and not connection.unwritten
+    assert pool.give_up(last, clock())
+    connection.write_queued()
+    assert not connection.cancels and not pool.undelivered_cancels and connection.rest_writer_active
+    enqueue_and_write(pool, next_hop_of(last))
     until(lambda: other.wants)
     assert not cache.given_up
     cache.go_on.set()
@@ -187,11 +187,11 @@
 
 
 CHANGES = {
-    "draining": lambda send: send.update_endpoint("c0", send.endpoints["c0"].address, "draining"),
-    "gone": lambda send: send.update_endpoint("c0", ("", 0), "gone"),
-    "source": lambda send: send.update_endpoint("p0", ("127.0.0.1", 1), "draining"),
-    "purge of the group": lambda send: send.purge_received(None, 7),
-    "purge of the object": lambda send: send.purge_received("0" * 16, -1),
+    "draining": lambda pool: pool.update_endpoint("c0", pool.endpoints["c0"].address, "draining"),
+    "gone": lambda pool: pool.update_endpoint("c0", ("", 0), "gone"),
+    "source": lambda pool: pool.update_endpoint("p0", ("127.0.0.1", 1), "draining"),
+    "purge of the group": lambda pool: pool.purge_received(None, 7),
+    "purge of the object": lambda pool: pool.purge_received("0" * 16, -1),
 }
 
 
@@ -199,35 +199,35 @@
 def test_what_waits_for_a_server_that_does_not_read_is_taken_back_once_it_may_not_go_out(change):
     """The server reads on later: it gets what had begun, whole, and nothing else; the rest never ran."""
     cache = Stalled()
-    send = sender(cache.address)
-    send.update_endpoint("p0", ("127.0.0.1", 1), "up")
-    lane, hops = fill(send, cache, source="p0")
-    begun = [one for one in hops if one.written_at]
+    pool = sender(cache.address)
+    pool.update_endpoint("p0", ("127.0.0.1", 1), "up")
+    connection, hops = fill_socket(pool, cache, source="p0")
+    begun = [hop for hop in hops if hop.written_at]
     assert 0 < len(begun) < len(hops) - 5
-    CHANGES[change](send)
-    send.refuse_stale_hops()
-    ends = {about[0]: about[1] for about in send.host.posted[1:]}
-    assert ends == {one: "unsent" for one in hops if one not in begun}
-    late = hop(900, source="p0")  # decided before the change, put in after it
-    send.enqueue(late)
+    CHANGES[change](pool)
+    pool.refuse_stale_hops()
+    ends = {about[0]: about[1] for about in pool.host.posted[1:]}
+    assert ends == {hop: "unsent" for hop in hops if hop not in begun}
+    late = make_hop(900, source="p0")  # decided before the change, put in after it
+    pool.enqueue(late)
     cache.go_on.set()
     until(lambda: len(cache.wants) >= 1 + len(begun))
-    until(lambda: lane.closed or not lane.rest_writer_active and not lane.queue)
+    until(lambda: connection.closed or not connection.rest_writer_active and not connection.queue)
     if late.connection is not None:
         late.connection.write_queued()
     time.sleep(0.05)
-    assert [w["id"] for w in cache.wants] == ["%016x" % 1] + [one.name for one in begun]
-    assert not late.written_at and (late, "unsent") in [about[:2] for about in send.host.posted]
+    assert [w["id"] for w in cache.wants] == ["%016x" % 1] + [hop.name for hop in begun]
+    assert not late.written_at and (late, "unsent") in [about[:2] for about in pool.host.posted]
 
 
 def test_a_purge_does_not_take_back_what_was_decided_with_it_nor_another_group():
     cache = Stalled()
-    send = sender(cache.address)
-    lane, _ = fill(send, cache, count=30)
-    knows, other = hop(500, purges=1), hop(501, group=8)
+    pool = sender(cache.address)
+    connection, _ = fill_socket(pool, cache, count=30)
+    knows, other = make_hop(500, purges=1), make_hop(501, group=8)
     other.want.obj = "1" * 16
-    send.enqueue(knows), send.enqueue(other)
-    send.purge_received(None, 7)
+    pool.enqueue(knows), pool.enqueue(other)
+    pool.purge_received(None, 7)
     cache.go_on.set()
     until(lambda: {"%016x" % 500, "%016x" % 501} <= {w["id"] for w in cache.wants})
     assert knows.written_at and other.written_at
@@ -235,41 +235,41 @@
 
 def test_what_is_given_up_before_a_byte_of_it_went_out_is_never_named_to_the_server():
     cache = Stalled()
-    send = sender(cache.address)
-    lane, hops = fill(send, cache)
-    waits = [one for one in hops if not one.written_at]
-    for one in waits:
-        assert send.give_up(one, clock())
-    begun = [one for one in hops if one.written_at]
-    assert send.give_up(begun[0], clock())
+    pool = sender(cache.address)
+    connection, hops = fill_socket(pool, cache)
+    waits = [hop for hop in hops if not hop.written_at]
+    for hop in waits:
+        assert pool.give_up(hop, clock())
+    begun = [hop for hop in hops if hop.written_at]
+    assert pool.give_up(begun[0], clock())
     cache.go_on.set()
     until(lambda: cache.given_up)
-    until(lambda: not lane.queue)
+    until(lambda: not connection.queue)
     assert cache.given_up == [begun[0].name]
-    assert {w["id"] for w in cache.wants} == {"%016x" % 1} | {one.name for one in begun}
+    assert {w["id"] for w in cache.wants} == {"%016x" % 1} | {hop.name for hop in begun}
 
 
 @pytest.mark.parametrize("taken", [0, 1, 150, 499, 500, 501, 999, 1000, 1499])
 def test_a_joined_write_that_is_cut_puts_back_every_message_that_has_not_begun(taken, monkeypatch):
     """Three messages in one write, the socket takes so many bytes of it."""
     quiet = Listener()
-    send = sender(quiet.address)
-    lane = go(send, hop(1))
-    until(lambda: lane.connected and not lane.queue)
-    hops = [hop(n) for n in (2, 3, 4)]
-    for one in hops:
-        one.want.body = b"x" * (500 - sum(map(len, resp.encode_want(one.want))))
-    sizes = [sum(map(len, resp.encode_want(one.want))) for one in hops]
+    pool = sender(quiet.address)
+    connection = enqueue_and_write(pool, make_hop(1))
+    until(lambda: connection.connected and not connection.queue)
+    hops = [make_hop(n) for n in (2, 3, 4)]
+    for hop in hops:
+        hop.want.body = b"x" * (500 - sum(map(len, resp.encode_want(hop.want))))
+    sizes = [sum(map(len, resp.encode_want(hop.want))) for hop in hops]
     takes = iter([taken])  # and nothing of what is left
     monkeypatch.setattr("fieldspur.net.server_connection.write_nonblocking", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
-    lane.rest_writer_active = True  # nobody else pumps
-    for one in hops:
-        send.enqueue(one)
-    left, cut, full = lane.write_batch()
+    connection.rest_writer_active = True  # nobody else pumps
+    for hop in hops:
+        pool.enqueue(hop)
+    left, cut, full = connection.write_batch()
     whole = sum(sum(sizes[: n + 1]) <= taken for n in range(3))
     begun = sum(sum(sizes[:n]) < taken for n in range(3))
-    assert full and [bool(one.written_at) for one in hops] == [n < begun for n in range(3)]
-    assert list(lane.queue) == hops[begun:]
+    assert full and [bool(hop.written_at) for hop in hops] == [n < begun for n in range(3)]
+    assert list(connection.queue) == hops[begun:]
     assert sum(map(len, left)) == sum(sizes[:begun]) - taken and cut is (hops[whole] if begun > whole else None)
 
 
@@ -277,57 +277,57 @@
     """Found with writes of 47 KB to servers with small windows: in pieces of the mark, each with a waking of a thread
     made for it, they cost 0.54 of a core where 0.34 had done, and p50 rose from 0.3 to 0.9 s. Others wait as before."""
     cache = Stalled()
-    send = sender(cache.address)
-    lane = go(send, hop(1))
-    until(lambda: send.host.posted)
+    pool = sender(cache.address)
+    connection = enqueue_and_write(pool, make_hop(1))
+    until(lambda: pool.host.posted)
     cache.go_on.clear()
-    large = hop(2, body=b"w" * 200_000)
-    assert go(send, large) is lane
-    assert large.written_at and not lane.rest_writer_active and not lane.queue
-    after = hop(3)
-    assert go(send, after) is lane
-    until(lambda: lane.rest_writer_active)
-    assert not after.written_at and list(lane.queue) == [after]
-    send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
-    send.refuse_stale_hops()
-    assert send.host.posted[-1][:2] == (after, "unsent")
+    large = make_hop(2, body=b"w" * 200_000)
+    assert enqueue_and_write(pool, large) is connection
+    assert large.written_at and not connection.rest_writer_active and not connection.queue
+    after = make_hop(3)
+    assert enqueue_and_write(pool, after) is connection
+    until(lambda: connection.rest_writer_active)
+    assert not after.written_at and list(connection.queue) == [after]
+    pool.update_endpoint("c0", pool.endpoints["c0"].address, "draining")
+    pool.refuse_stale_hops()
+    assert pool.host.posted[-1][:2] == (after, "unsent")
     cache.go_on.set()
-    until(lambda: len(cache.wants) == 2 and not lane.rest_writer_active)
+    until(lambda: len(cache.wants) == 2 and not connection.rest_writer_active)
     assert [w["id"] for w in cache.wants] == ["%016x" % 1, large.name]
 
 
 def test_a_drain_while_the_connection_comes_up_gives_the_hop_back_at_once():
     """Its server takes no connection yet; the hop has not begun and goes elsewhere now, not when that ends."""
-    full = socket.create_server(("127.0.0.1", 0), backlog=0)
-    crowd = [socket.socket() for _ in range(4)]
-    for one in crowd:
-        one.setblocking(False)
-        one.connect_ex(full.getsockname())
+    full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+    pending_sockets = [socket.socket() for _ in range(4)]
+    for sock in pending_sockets:
+        sock.setblocking(False)
+        sock.connect_ex(full_listener.getsockname())
     time.sleep(0.05)
-    send = sender("127.0.0.1:%d" % full.getsockname()[1])
-    one = hop(1)
-    lane = go(send, one)
+    pool = sender("127.0.0.1:%d" % full_listener.getsockname()[1])
+    hop = make_hop(1)
+    connection = enqueue_and_write(pool, hop)
     time.sleep(0.05)
-    assert not lane.connected and not send.host.posted
-    send.update_endpoint("c0", send.endpoints["c0"].address, "draining")
-    send.refuse_stale_hops()
-    assert [about[:2] for about in send.host.posted] == [(one, "unsent")] and not lane.open_hops
-    full.close()
-    for other in crowd:
-        other.close()
+    assert not connection.connected and not pool.host.posted
+    pool.update_endpoint("c0", pool.endpoints["c0"].address, "draining")
+    pool.refuse_stale_hops()
+    assert [about[:2] for about in pool.host.posted] == [(hop, "unsent")] and not connection.open_hops
+    full_listener.close()
+    for sock in pending_sockets:
+        sock.close()
 
 
 # The Router's queue, and a process held up.
 
 
-def route_to(cache):
-    send = sender(cache.address)
-    route = RouterHost(send.site, 1, send.open_txns, send.answer_sender, send)
-    route.list_received(ListChange(True, (row(cache, "up"),)), at_start=True)
-    return send, route
+def make_router_host(cache):
+    pool = sender(cache.address)
+    router_host = RouterHost(pool.site, 1, pool.open_txns, pool.answer_sender, pool)
+    router_host.list_received(ListChange(True, (listed_server(cache, "up"),)), at_start=True)
+    return pool, router_host
 
 
-def row(cache, state):
+def listed_server(cache, state):
     host, port = cache.address.split(":")
     return ListedServer("c0", (host, int(port)), "east", "std", 0, state, 50.0, 0)
 
@@ -337,30 +337,30 @@
     from fieldspur.net.discovery import Purge
 
     cache = Cache(lambda w: None)
-    send, route = route_to(cache)
-    lane = go(send, hop(1))
+    pool, router_host = make_router_host(cache)
+    connection = enqueue_and_write(pool, make_hop(1))
     until(lambda: cache.wants)
-    with route.lock:  # the Router is at something
+    with router_host.lock:  # the Router is at something
         for _ in range(MAX_QUEUED - 12):
-            route.post(lambda: None)
-        waiting = hop(2)
-        assert send.enqueue(waiting) is lane
+            router_host.post(lambda: None)
+        waiting = make_hop(2)
+        assert pool.enqueue(waiting) is connection
         if what == "list":
-            route.list_received(ListChange(False, (row(cache, "draining"),)))
+            router_host.list_received(ListChange(False, (listed_server(cache, "draining"),)))
         else:
-            route.purge_received(Purge(None, 7, time.time_ns()))
-        lane.write_queued()
+            router_host.purge_received(Purge(None, 7, time.time_ns()))
+        connection.write_queued()
         assert not waiting.written_at and waiting.ended
-        order = [getattr(event[0], "__name__", "") for event in route.queue]
+        order = [getattr(event[0], "__name__", "") for event in router_host.queue]
         assert order[-2:] == ["apply_list" if what == "list" else "apply_purge", "hop_ended"]  # it decides anew after it
 
 
 def test_a_write_waits_for_word_of_the_board_that_lies_unread():
     """As in a process that was stopped, or whose other threads had the core: the board's thread has not come to it."""
     cache, notices = Cache(lambda w: None), Notices()
-    send, route = route_to(cache)
+    pool, router_host = make_router_host(cache)
     host, port = notices.address.split(":")
-    board = send.discovery = DiscoveryClient((host, int(port)), route, 1)
+    board = pool.discovery = DiscoveryClient((host, int(port)), router_host, 1)
     board.last_number = 1
     threading.Thread(target=board.run, daemon=True).start()
     until(board.caught_up.is_set)
@@ -368,27 +368,27 @@
         notices.tell(2, pool={"endpoints": [endpoint("c0", cache.address, status="draining")]})
         until(lambda: notices.sent)
         time.sleep(0.06)
-        one = hop(1)
-        writer = threading.Thread(target=go, args=(send, one))
+        hop = make_hop(1)
+        writer = threading.Thread(target=enqueue_and_write, args=(pool, hop))
         writer.start()
         time.sleep(0.02)
-        assert not one.written_at
+        assert not hop.written_at
     writer.join(5)
-    until(lambda: one.ended)
-    assert not one.written_at and not cache.wants
+    until(lambda: hop.ended)
+    assert not hop.written_at and not cache.wants
 
 
 def test_a_board_that_says_nothing_holds_up_one_write_for_a_moment_and_then_none():
     cache = Cache(lambda w: None)
-    send, route = route_to(cache)
-    board = send.discovery = DiscoveryClient(("127.0.0.1", 1), route, 1)
+    pool, router_host = make_router_host(cache)
+    board = pool.discovery = DiscoveryClient(("127.0.0.1", 1), router_host, 1)
     board.last_line_at -= 5
     began = time.monotonic()
-    go(send, hop(1))
+    enqueue_and_write(pool, make_hop(1))
     until(lambda: cache.wants)
     first, began = time.monotonic() - began, time.monotonic()
     time.sleep(0.06)
-    go(send, hop(2))
+    enqueue_and_write(pool, make_hop(2))
     until(lambda: len(cache.wants) == 2)
     assert 0.2 < first < 2 and time.monotonic() - began < 0.2
 
@@ -422,9 +422,9 @@
     """Found by the test above on a busy machine: between a drain and a purge of one read the board's own thread took a
     turn in the Router and wrote hops that knew of the drain alone."""
     cache, notices = Cache(lambda w: None), Notices()
-    send, route = route_to(cache)
+    pool, router_host = make_router_host(cache)
     host, port = notices.address.split(":")
-    board = send.discovery = DiscoveryClient((host, int(port)), route, 1)
+    board = pool.discovery = DiscoveryClient((host, int(port)), router_host, 1)
     board.last_number = 1
     seen = []
     threading.Thread(target=board.run, daemon=True).start()
@@ -433,6 +433,6 @@
         notices.tell(2, pool={"endpoints": [endpoint("c1", cache.address)]})
         notices.tell(3, flush={"collection": 7, "ms": time.time_ns() // MS})
         until(lambda: notices.sent == [2, 3])
-        route.queue.append((lambda: seen.append((send.rules.purges, "c1" in send.endpoints)), (), clock()))
+        router_host.queue.append((lambda: seen.append((pool.rules.purges, "c1" in pool.endpoints)), (), clock()))
     until(lambda: seen)
     assert seen == [(1, True)]
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -7,7 +7,7 @@
 
 from helpers import Cache, Service, clock, endpoint, sender, until
 from test_crossings import open_txn_with_hop, staying_client_writer
-from test_first_bytes import route_to, row
+from test_first_bytes import listed_server, make_router_host
 
 from fieldspur.decide import MS, SECOND
 from fieldspur.net.discovery import ListChange
@@ -17,7 +17,7 @@
 from fieldspur.record import replace
 
 
-class LetsIn:
+class RunsBeforeLock:
     """A lock before which another thread has its turn, once: `first` is run there."""
 
     def __init__(self, lock, first):
@@ -50,19 +50,19 @@
 def test_a_server_that_discovery_removes_while_an_attempt_gets_its_connection_costs_that_attempt_alone():
     """Issue 40: the attempt found its server listed, and then asked for its address where it was listed no more."""
     cache = Cache()
-    send = sender(cache.address)
-    attempt = open_txn_with_hop(send, staying_client_writer(send))
-    removal = threading.Thread(target=lambda: send.update_endpoint("c0", ("", 0), "gone"))
+    pool = sender(cache.address)
+    attempt = open_txn_with_hop(pool, staying_client_writer(pool))
+    removal = threading.Thread(target=lambda: pool.update_endpoint("c0", ("", 0), "gone"))
 
-    def removed():
+    def remove_before_lock():
         removal.start()
-        until(lambda: "c0" not in send.endpoints)
+        until(lambda: "c0" not in pool.endpoints)
 
-    send.lock = LetsIn(send.lock, removed)
-    lane = send.enqueue(attempt)
-    if lane is not None:
-        lane.write_queued()
-    assert [about[:2] for about in until(lambda: send.host.posted)] == [(attempt, "unsent")]
+    pool.lock = RunsBeforeLock(pool.lock, remove_before_lock)
+    connection = pool.enqueue(attempt)
+    if connection is not None:
+        connection.write_queued()
+    assert [about[:2] for about in until(lambda: pool.host.posted)] == [(attempt, "unsent")]
     removal.join()
     assert not attempt.written_at and not cache.wants
 
@@ -73,7 +73,7 @@
     service = Service(tmp_path, caches)
     service.client()
     stop = threading.Event()
-    clients = [threading.Thread(target=ask_on, args=(service, stop, number)) for number in range(3)]
+    clients = [threading.Thread(target=send_requests, args=(service, stop, number)) for number in range(3)]
     for client in clients:
         client.start()
     try:
@@ -101,7 +101,7 @@
     assert not any(f"event={word}" in service.lines() for word in ("crashed", "broken", "contained"))
 
 
-def ask_on(service, stop, number):
+def send_requests(service, stop, number):
     """A client that asks for an object of its own each 4 ms, whatever becomes of it."""
     client, streams = service.client(), itertools.count(1)
     threading.Thread(target=lambda: list(iter(client.get, None)), daemon=True).start()
@@ -139,52 +139,52 @@
 def test_an_attempt_goes_to_where_its_server_is_listed_now_whatever_connection_stands():
     """A server that is listed at another address: its old connection leads to a process that was removed, or to another server's."""
     old, new = Cache(lambda want: None), Cache(lambda want: None)
-    send = sender(old.address)
-    send.enqueue(open_txn_with_hop(send, staying_client_writer(send), ident=5)).write_queued()
+    pool = sender(old.address)
+    pool.enqueue(open_txn_with_hop(pool, staying_client_writer(pool), ident=5)).write_queued()
     until(lambda: old.wants)
     host, port = new.address.split(":")
-    send.update_endpoint("c0", (host, int(port)), "up")
-    send.enqueue(open_txn_with_hop(send, staying_client_writer(send), ident=6)).write_queued()
+    pool.update_endpoint("c0", (host, int(port)), "up")
+    pool.enqueue(open_txn_with_hop(pool, staying_client_writer(pool), ident=6)).write_queued()
     until(lambda: new.wants)
     assert len(old.wants) == len(new.wants) == 1
 
 
 def test_an_attempt_that_waits_for_a_server_that_is_listed_elsewhere_meanwhile_is_not_written_there(monkeypatch):
     old, new = Cache(lambda want: None), Cache(lambda want: None)
-    send = sender(old.address)
-    attempt = open_txn_with_hop(send, staying_client_writer(send))
-    dialled = dials_wait(monkeypatch)
-    send.enqueue(attempt)
+    pool = sender(old.address)
+    attempt = open_txn_with_hop(pool, staying_client_writer(pool))
+    connects_allowed = block_connects(monkeypatch)
+    pool.enqueue(attempt)
     host, port = new.address.split(":")
-    send.update_endpoint("c0", (host, int(port)), "up")
-    dialled.set()
-    assert [about[:2] for about in until(lambda: send.host.posted)] == [(attempt, "unsent")]
+    pool.update_endpoint("c0", (host, int(port)), "up")
+    connects_allowed.set()
+    assert [about[:2] for about in until(lambda: pool.host.posted)] == [(attempt, "unsent")]
     assert not attempt.written_at and not old.wants
 
 
-def dials_wait(monkeypatch):
+def block_connects(monkeypatch):
     """From now on, connections come up only once the event given back is set."""
-    dialled, connect = threading.Event(), socket.socket.connect
-    monkeypatch.setattr(socket.socket, "connect", lambda sock, where: (dialled.wait(5), connect(sock, where)))
-    return dialled
+    connects_allowed, connect = threading.Event(), socket.socket.connect
+    monkeypatch.setattr(socket.socket, "connect", lambda sock, where: (connects_allowed.wait(5), connect(sock, where)))
+    return connects_allowed
 
 
 def test_an_attempt_that_was_decided_for_a_process_does_not_go_to_the_one_that_was_started_in_its_place(monkeypatch):
     """It was in no budget of the new one's slow start. The Router hears of the start in its turn, and decides anew after that."""
     for restarts in ("server", "source"):
         cache = Cache(lambda want: None)
-        send, route = route_to(cache)
-        parent = replace(row(cache, "up"), name="p0", kind="parent")
-        route.list_received(ListChange(False, (parent,)))
-        open_txn_with_hop(send, staying_client_writer(send), ident=5)
-        dialled = dials_wait(monkeypatch)
-        with route.lock:  # the Router is at something, and has not heard of the start
-            route.send_hop(5, "c0", clock() + 3 * SECOND, "p0", 0, 0, False, False, True, NEVER)
-            lane = route.outbox[-1][0]
-            before = row(cache, "up") if restarts == "server" else parent
-            route.list_received(ListChange(False, (replace(before, started=clock() // MS * MS),)))
-            dialled.set()
-            until(lambda: lane.connected)
+        pool, router_host = make_router_host(cache)
+        parent = replace(listed_server(cache, "up"), name="p0", kind="parent")
+        router_host.list_received(ListChange(False, (parent,)))
+        open_txn_with_hop(pool, staying_client_writer(pool), ident=5)
+        connects_allowed = block_connects(monkeypatch)
+        with router_host.lock:  # the Router is at something, and has not heard of the start
+            router_host.send_hop(5, "c0", clock() + 3 * SECOND, "p0", 0, 0, False, False, True, NEVER)
+            connection = router_host.outbox[-1][0]
+            before = listed_server(cache, "up") if restarts == "server" else parent
+            router_host.list_received(ListChange(False, (replace(before, started=clock() // MS * MS),)))
+            connects_allowed.set()
+            until(lambda: connection.connected)
             time.sleep(0.1)
             assert not cache.wants, restarts
-            assert [posted[0] for posted in route.queue] == [route.apply_list, route.hop_ended]
+            assert [posted[0] for posted in router_host.queue] == [router_host.apply_list, router_host.hop_ended]
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -147,14 +147,14 @@
 # One connection to a server.
 
 
-def want(name, body=b""):
+def make_want(name, body=b""):
     return resp.Want(name, "media", "0" * 16, 0, 3000, None, None, 0, 0, False, False, True, None, body)
 
 
-def go(send, hop):
-    lane = send.enqueue(hop)
-    lane.write_queued()
-    return lane
+def enqueue_and_write(pool, hop):
+    connection = pool.enqueue(hop)
+    connection.write_queued()
+    return connection
 
 
 def test_a_socket_that_takes_half_a_write_gets_the_rest_and_then_the_hops_behind():
@@ -167,52 +167,52 @@
             super().serve(conn)
 
     cache = Slow(lambda w: seen.append((w["id"], len(w["body"]))))
-    send = sender(cache.address)
-    hops = [Hop(n + 1, 0, f"{n:016x}", "c0", None, want(f"{n:016x}", b"w" * 48_000), clock()) for n in range(90)]
-    lane = go(send, hops[0])
-    until(lambda: lane.connected)
-    lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
+    pool = sender(cache.address)
+    hops = [Hop(n + 1, 0, f"{n:016x}", "c0", None, make_want(f"{n:016x}", b"w" * 48_000), clock()) for n in range(90)]
+    connection = enqueue_and_write(pool, hops[0])
+    until(lambda: connection.connected)
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
     for hop in hops[1:]:
-        assert go(send, hop) is lane
-    until(lambda: lane.rest_writer_active)
+        assert enqueue_and_write(pool, hop) is connection
+    until(lambda: connection.rest_writer_active)
     assert not seen
     gate.set()
     until(lambda: len(seen) == 90)
-    assert seen == [(hop.name, 48_000) for hop in hops] and not lane.rest_writer_active and not send.host.posted
+    assert seen == [(hop.name, 48_000) for hop in hops] and not connection.rest_writer_active and not pool.host.posted
 
 
 def test_a_connection_that_breaks_under_half_a_write_says_which_hop_never_ran():
     quiet = Listener()
     quiet.serve = lambda conn: time.sleep(30)
-    send = sender(quiet.address)
-    first = Hop(1, 0, "a" * 16, "c0", None, want("a" * 16), clock())
-    lane = go(send, first)
-    until(lambda: lane.connected and first.written_at)
-    lane.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-    bodies = [Hop(n, 0, f"{n:016x}", "c0", None, want(f"{n:016x}", b"w" * 48_000), clock()) for n in range(2, 150)]
+    pool = sender(quiet.address)
+    first = Hop(1, 0, "a" * 16, "c0", None, make_want("a" * 16), clock())
+    connection = enqueue_and_write(pool, first)
+    until(lambda: connection.connected and first.written_at)
+    connection.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    bodies = [Hop(n, 0, f"{n:016x}", "c0", None, make_want(f"{n:016x}", b"w" * 48_000), clock()) for n in range(2, 150)]
     for hop in bodies:
-        go(send, hop)
-        if lane.rest_writer_active:
+        enqueue_and_write(pool, hop)
+        if connection.rest_writer_active:
             break
-    assert lane.rest_writer_active
+    assert connection.rest_writer_active
     until(lambda: quiet.conns)
     quiet.reset()
-    until(lambda: lane.closed and len(send.host.posted) == 1 + bodies.index(hop) + 1)
-    ends = {about[0].name: about[1] for about in send.host.posted}
+    until(lambda: connection.closed and len(pool.host.posted) == 1 + bodies.index(hop) + 1)
+    ends = {about[0].name: about[1] for about in pool.host.posted}
     assert ends["a" * 16] == "broken" and ends[hop.name] in ("unsent", "broken") and set(ends.values()) <= set(RESULTS)
 
 
 def test_a_server_gone_between_choice_and_write_never_gets_the_hop():
     cache = Cache(lambda w: None)
-    send = sender(cache.address)
-    hop = Hop(1, 0, "a" * 16, "c0", None, want("a" * 16), clock())
-    lane = go(send, hop)
+    pool = sender(cache.address)
+    hop = Hop(1, 0, "a" * 16, "c0", None, make_want("a" * 16), clock())
+    connection = enqueue_and_write(pool, hop)
     until(lambda: hop.written_at and cache.wants)
-    other = Hop(2, 0, "b" * 16, "c0", None, want("b" * 16), clock())
-    assert send.enqueue(other) is lane
-    send.update_endpoint("c0", ("", 0), "gone")
-    lane.write_queued()
-    assert [about[:2] for about in send.host.posted] == [(other, "unsent")] and "b" * 16 not in lane.open_hops
+    other = Hop(2, 0, "b" * 16, "c0", None, make_want("b" * 16), clock())
+    assert pool.enqueue(other) is connection
+    pool.update_endpoint("c0", ("", 0), "gone")
+    connection.write_queued()
+    assert [about[:2] for about in pool.host.posted] == [(other, "unsent")] and "b" * 16 not in connection.open_hops
 
 
 def test_an_answer_that_comes_while_its_hop_is_still_being_written_counts_once():
@@ -228,43 +228,43 @@
                 pass
 
     hasty = Hasty()
-    send = sender(hasty.address)
-    hop = Hop(1, 0, "a" * 16, "c0", None, want("a" * 16, b"w" * 48_000), clock())
-    lane = go(send, hop)
+    pool = sender(hasty.address)
+    hop = Hop(1, 0, "a" * 16, "c0", None, make_want("a" * 16, b"w" * 48_000), clock())
+    connection = enqueue_and_write(pool, hop)
     until(seen.is_set)
-    until(lambda: send.host.posted)
-    assert send.host.posted[0][:2] == (hop, "error") and len(send.host.posted) == 1 and not lane.open_hops
-    assert not send.give_up(hop, clock())
+    until(lambda: pool.host.posted)
+    assert pool.host.posted[0][:2] == (hop, "error") and len(pool.host.posted) == 1 and not connection.open_hops
+    assert not pool.give_up(hop, clock())
 
 
 def test_answers_of_one_read_go_out_in_one_write_and_each_to_its_own_client():
     """Corked answers are owed until they are written: neither a sweep nor an end closes their connection before."""
-    send = sender(Listener().address)
-    lane = go(send, Hop(99, 0, "f" * 16, "c0", None, want("f" * 16), clock()))
+    pool = sender(Listener().address)
+    connection = enqueue_and_write(pool, Hop(99, 0, "f" * 16, "c0", None, make_want("f" * 16), clock()))
     pairs, client_writers = [socket.socketpair() for _ in range(2)], []
     for here, _ in pairs:
-        client_writers.append(ClientWriter(here, encode, send.answer_sender))
+        client_writers.append(ClientWriter(here, encode, pool.answer_sender))
     data, at = b"", clock()
     for n in range(6):
         name = f"{n + 1:016x}"
         client_writers[n % 2].open_stream(n + 1, n + 1)
-        send.open_txns.add(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, client_writers[n % 2], n + 1))
-        go(send, Hop(n + 1, 0, name, "c0", None, want(name), at))
+        pool.open_txns.add(Txn(n + 1, name, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 10**10, client_writers[n % 2], n + 1))
+        enqueue_and_write(pool, Hop(n + 1, 0, name, "c0", None, make_want(name), at))
         data += resp.encode_array(name.encode(), b"ACK", b"entity=e,issued=1", b"body-%d" % n)
     seen, put = [], ClientWriter.uncork
 
     def look(self):
-        seen.append((len(self.corked), self.shut_if_idle(), send.answer_sender.all_delivered()))
+        seen.append((len(self.corked), self.shut_if_idle(), pool.answer_sender.all_delivered()))
         put(self)
 
     ClientWriter.uncork, decoder = look, resp.Decoder()
     try:
         room = decoder.buffer.free_space()
         room[: len(data)] = data
-        lane.handle_replies(decoder, len(data))
+        connection.handle_replies(decoder, len(data))
     finally:
         ClientWriter.uncork = put
-    assert seen == [(3, False, False)] * 2 and send.answer_sender.all_delivered() and len(send.host.posted) == 6
+    assert seen == [(3, False, False)] * 2 and pool.answer_sender.all_delivered() and len(pool.host.posted) == 6
     for n, (_, there) in enumerate(pairs):
         there.setblocking(False)
         assert there.recv(4000) == b"".join(
@@ -275,14 +275,14 @@
 # One caller in the Router.
 
 
-def plain_route():
+def make_router_host():
     site = deployment(settings())
     return RouterHost(site, 1, OpenTxns(), AnswerSender(1 << 20), ConnectionPool(site, OpenTxns(), AnswerSender(1 << 20), 4))
 
 
 def test_events_of_many_threads_are_handled_once_each_by_one_caller_at_a_time():
     """100,000 events from 8 threads, some of which post further ones from inside, with the interpreter given up at will."""
-    route, inside, seen, overlaps = plain_route(), [], [], []
+    router_host, inside, seen, overlaps = make_router_host(), [], [], []
     before, spread = sys.getswitchinterval(), 12_500
     sys.setswitchinterval(1e-6)
 
@@ -291,7 +291,7 @@
             overlaps.append((who, n))
         inside.append(who)
         if n % 10 == 0:
-            route.post(inner, who, n)
+            router_host.post(inner, who, n)
         inside.pop()
         seen.append((who, n))
 
@@ -302,7 +302,7 @@
 
     def post(who):
         for n in range(spread):
-            route.post(event, who, n)
+            router_host.post(event, who, n)
 
     try:
         threads = [threading.Thread(target=post, args=(who,)) for who in range(8)]
@@ -312,8 +312,8 @@
             thread.join(60)
     finally:
         sys.setswitchinterval(before)
-    route.process_queue(0)  # what a thread that had worked long enough left to the timers' one
-    assert not overlaps and not route.queue and not holding.violation_counts
+    router_host.process_queue(0)  # what a thread that had worked long enough left to the timers' one
+    assert not overlaps and not router_host.queue and not holding.violation_counts
     assert len(seen) == 8 * (spread + spread // 10) and len(set(seen)) == len(seen)
     for who in range(8):
         mine = [n for other, n in seen if other == who and n >= 0]
@@ -322,10 +322,10 @@
 
 def test_a_second_caller_in_the_router_is_noticed(monkeypatch):
     monkeypatch.setattr(threading, "excepthook", lambda args: None)
-    route = plain_route()
-    route.router_thread = 1
+    router_host = make_router_host()
+    router_host.router_thread = 1
     with pytest.raises(AssertionError):
-        route.post(lambda: None)
+        router_host.post(lambda: None)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -334,10 +334,10 @@
     other in a generated order, from several threads."""
     chance, site = random.Random(seed), deployment(settings())
     open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
-    send = ConnectionPool(site, open_txns, answer_sender, 4)
-    route = RouterHost(site, 1, open_txns, answer_sender, send)
+    pool = ConnectionPool(site, open_txns, answer_sender, 4)
+    router_host = RouterHost(site, 1, open_txns, answer_sender, pool)
     answered = {}
-    lanes = SimpleNamespace(write_queued=lambda: None, remove_hop=lambda hop, at: None)
+    connections = SimpleNamespace(write_queued=lambda: None, remove_hop=lambda hop, at: None)
     hops = {}
 
     class Taking:
@@ -348,14 +348,14 @@
             return True
 
     def hop_out(hop):
-        hop.connection, hop.written_at = lanes, clock()
+        hop.connection, hop.written_at = connections, clock()
         hops.setdefault(hop.ident, []).append(hop)
-        return lanes
+        return connections
 
-    send.enqueue = hop_out
+    pool.enqueue = hop_out
     client_writer, streams, withdrawn = Taking(), {}, set()
     rows = tuple(ListedServer(f"c{n}", ("127.0.0.1", 1), "east", "std", 0, "up", 500.0, 0) for n in range(3))
-    route.list_received(ListChange(True, rows), at_start=True)
+    router_host.list_received(ListChange(True, rows), at_start=True)
     count_of = 5_000
 
     def end(ident):
@@ -366,15 +366,15 @@
                 if streams.pop(ident, None) is not None:
                     withdrawn.add(ident)
                     if open_txns.withdraw(ident):
-                        route.post(route.txn_withdrawn, ident)
+                        router_host.post(router_host.txn_withdrawn, ident)
             elif hop is None:
                 continue
             elif what == "cut":
-                route.post(route.hop_timed_out, ident, hop.number)
+                router_host.post(router_host.hop_timed_out, ident, hop.number)
             elif what == "broken":
-                send.end_hop(hop, "broken")
+                pool.end_hop(hop, "broken")
             else:
-                send.handle_reply(
+                pool.handle_reply(
                     hop, resp.Reply(hop.name, "completed" if what == "good" else "error", False, 1, None, None, b"x"), clock()
                 )
 
@@ -400,7 +400,7 @@
                 ident,
             )
             open_txns.add(txn)
-            route.post(route.txn_arrived, txn)
+            router_host.post(router_host.txn_arrived, txn)
             end(ident)
 
     threads = [threading.Thread(target=arrive, args=(range(1 + n, count_of + 1, 4),)) for n in range(4)]
@@ -413,15 +413,15 @@
             thread.join(60)
     finally:
         sys.setswitchinterval(before)
-    route.process_queue(0)
+    router_host.process_queue(0)
     for _ in range(20):  # whatever is still open has its hops ended, tries of their own included
         for ident in list(open_txns.by_id):
             if hops.get(ident):
-                send.end_hop(hops[ident][-1], "unreachable")
-        route.process_queue(0)
+                pool.end_hop(hops[ident][-1], "unreachable")
+        router_host.process_queue(0)
     for ident in list(open_txns.by_id):  # followers whose leader had gone
-        route.post(route.hop_timed_out, ident, hops[ident][-1].number if hops.get(ident) else 0)
-    route.process_queue(0)
+        router_host.post(router_host.hop_timed_out, ident, hops[ident][-1].number if hops.get(ident) else 0)
+    router_host.process_queue(0)
     double = [ident for ident, words in answered.items() if len(words) != 1]
     both = [ident for ident in answered if ident in withdrawn]
     none = [ident for ident in range(1, count_of + 1) if ident not in answered and ident not in withdrawn]
@@ -430,47 +430,47 @@
 
 def test_an_error_in_the_router_costs_its_event_alone_whatever_its_kind_and_thread(monkeypatch):
     """A board's thread takes ValueError for a bad line, a reader's OSError for a broken connection: neither may meet it."""
-    route, told, after = plain_route(), [], []
+    router_host, told, after = make_router_host(), [], []
     monkeypatch.setattr(threading, "excepthook", lambda args: told.append(args.exc_type))
     before = holding.contained_errors.log_fields().get("contained_event", 0)
     for wrong in (ValueError, OSError, KeyError):
-        route.post(lambda: (_ for _ in ()).throw(wrong("in there")))
-        route.post(after.append, wrong)
+        router_host.post(lambda: (_ for _ in ()).throw(wrong("in there")))
+        router_host.post(after.append, wrong)
     assert after == [ValueError, OSError, KeyError] and not told
     assert holding.contained_errors.log_fields()["contained_event"] == before + 3
-    assert not route.lock.locked() and route.router_thread is None
+    assert not router_host.lock.locked() and router_host.router_thread is None
     with pytest.raises(AssertionError):  # what must hold is not contained
-        route.post(lambda: holding.check_invariant(False, "a thing"))
-    assert told == [AssertionError] and not route.lock.locked()
+        router_host.post(lambda: holding.check_invariant(False, "a thing"))
+    assert told == [AssertionError] and not router_host.lock.locked()
 
 
 def test_a_txn_given_up_inside_the_call_that_started_it_is_answered_by_that_thread_at_once():
-    route = plain_route()
+    router_host = make_router_host()
     here, there = socket.socketpair()
-    client_writer = ClientWriter(here, encode, route.answer_sender)
+    client_writer = ClientWriter(here, encode, router_host.answer_sender)
     client_writer.open_stream(1, 1)
     at = clock()
-    route.open_txns.add(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, client_writer, 1))
-    route.post(route.txn_arrived, route.open_txns.by_id[1])  # no server is listed
+    router_host.open_txns.add(Txn(1, "a" * 16, 0, "media", "o", 0, 1, 1.0, None, None, b"", at, at + 3000 * MS, client_writer, 1))
+    router_host.post(router_host.txn_arrived, router_host.open_txns.by_id[1])  # no server is listed
     there.setblocking(False)
-    assert there.recv(100)[9] == frames.REJECTED and route.answer_sender.all_delivered()
+    assert there.recv(100)[9] == frames.REJECTED and router_host.answer_sender.all_delivered()
 
 
 def test_an_earlier_timer_wakes_the_timers_thread_and_cancelled_ones_do_not():
-    route, told = plain_route(), []
-    route.router = SimpleNamespace(woken=lambda label: told.append((label, clock())))
-    threading.Thread(target=route.run, daemon=True).start()
+    router_host, told = make_router_host(), []
+    router_host.router = SimpleNamespace(woken=lambda label: told.append((label, clock())))
+    threading.Thread(target=router_host.run, daemon=True).start()
     base = clock()
 
     def set_timers():
         for label, after in ((1, 5_000), (2, 60), (3, 30), (4, 40)):
-            route.set_alarm(label, base + after * MS)
-        route.cancel_alarm(4)
+            router_host.set_alarm(label, base + after * MS)
+        router_host.cancel_alarm(4)
 
-    route.post(set_timers)
+    router_host.post(set_timers)
     until(lambda: len(told) == 2)
     assert [label for label, _ in told] == [3, 2] and all(at >= base + after * MS for (_, at), after in zip(told, (30, 60)))
-    assert route.timers.count == 1 and list(route.alarms) == [1]
+    assert router_host.timers.count == 1 and list(router_host.alarms) == [1]
 
 
 # The guard.
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -9,7 +9,7 @@
 
 from helpers import Cache, Stalled, clock, pause, sender, until
 from test_crossings import open_txn_with_hop, staying_client_writer
-from test_mass_crash import dials_wait
+from test_mass_crash import block_connects
 
 from fieldspur.decide import MS
 from fieldspur.lab.soak import shim
@@ -19,7 +19,7 @@
 from fieldspur.record import replace
 
 
-class Emptied(deque):
+class EmptiedQueue(deque):
     """A queue out of which another thread takes all between a look at it and the first use of that."""
 
     emptied = False
@@ -36,14 +36,14 @@
     failed, before = [], contained_errors.log_fields().get("contained_write")
     monkeypatch.setattr(threading, "excepthook", failed.append)
     cache = Cache(lambda want: None)
-    send = sender(cache.address)
-    attempt = open_txn_with_hop(send, staying_client_writer(send), ident=5)
-    dialled = dials_wait(monkeypatch)
-    lane = send.enqueue(attempt)
-    lane.queue = Emptied(lane.queue)
-    dialled.set()
-    until(lambda: lane.connected and lane.queue.emptied)
-    send.enqueue(open_txn_with_hop(send, staying_client_writer(send), ident=6)).write_queued()
+    pool = sender(cache.address)
+    attempt = open_txn_with_hop(pool, staying_client_writer(pool), ident=5)
+    connects_allowed = block_connects(monkeypatch)
+    connection = pool.enqueue(attempt)
+    connection.queue = EmptiedQueue(connection.queue)
+    connects_allowed.set()
+    until(lambda: connection.connected and connection.queue.emptied)
+    pool.enqueue(open_txn_with_hop(pool, staying_client_writer(pool), ident=6)).write_queued()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
     assert not failed and contained_errors.log_fields().get("contained_write") == before  # contained is not mended
 
@@ -51,23 +51,23 @@
 def test_a_probe_that_is_cut_by_a_full_socket_is_finished_like_any_message():
     """It carries no request, and so no key, which the thread that finishes it asked for."""
     cache = Stalled()
-    send = sender(cache.address)
+    pool = sender(cache.address)
     probe = Hop(0, 1, "busy-1", "c0", None, None, clock())
-    lane = send.enqueue(probe)
-    lane.write_queued()  # as who hands over an attempt does: the connection may have come up before that waited in it
-    until(lambda: lane.connected)
-    until(lambda: not lane.queue)
+    connection = pool.enqueue(probe)
+    connection.write_queued()  # as who hands over an attempt does: the connection may have come up before that waited in it
+    until(lambda: connection.connected)
+    until(lambda: not connection.queue)
     failed = []
-    finished = threading.Thread(target=lambda: failed.extend(raised_by(lane.write_rest)))
-    with lane.write_lock:
-        lane.unwritten, lane.partial_hop, lane.rest_writer_active = [b"*1\r\n$4\r\nrest\r\n"], probe, True
-        limit_unsent(lane.sock)
+    finished = threading.Thread(target=lambda: failed.extend(errors_raised_by(connection.write_rest)))
+    with connection.write_lock:
+        connection.unwritten, connection.partial_hop, connection.rest_writer_active = [b"*1\r\n$4\r\nrest\r\n"], probe, True
+        limit_unsent(connection.sock)
     finished.start()
     finished.join(5)
-    assert not failed and not lane.rest_writer_active and not lane.unwritten
+    assert not failed and not connection.rest_writer_active and not connection.unwritten
 
 
-def raised_by(call):
+def errors_raised_by(call):
     try:
         call()
     except Exception as error:
@@ -75,32 +75,32 @@
     return []
 
 
-def slow_look(look, order):
+def slow_check(check, order):
     """A look at a client that takes longer than discovery's last word is good for."""
 
-    def looks(hop):
+    def check_slowly(hop):
         order.append(hop.ident)
         time.sleep(2 * DISCOVERY_CHECK_INTERVAL / 1e9)
-        return look(hop)
+        return check(hop)
 
-    return looks
+    return check_slowly
 
 
 def test_attempts_of_one_write_wait_for_discovery_before_they_are_looked_at_and_not_between(monkeypatch):
     """Else the first of them goes out by what was right before that wait, its deadline too large by it."""
     cache, order = Cache(lambda want: None), []
-    send = sender(cache.address)
-    attempts = [open_txn_with_hop(send, staying_client_writer(send), ident=ident, taken_ms_ago=50) for ident in (5, 6)]
-    dialled = dials_wait(monkeypatch)
+    pool = sender(cache.address)
+    attempts = [open_txn_with_hop(pool, staying_client_writer(pool), ident=ident, taken_ms_ago=50) for ident in (5, 6)]
+    connects_allowed = block_connects(monkeypatch)
     for attempt in attempts:
         attempt.cut_at = clock() + 3000 * MS
-        client_writer = send.open_txns.by_id[attempt.ident].client_writer
-        monkeypatch.setattr(client_writer, "check_client", slow_look(client_writer.check_client, order))
-        lane = send.enqueue(attempt)
-    send.discovery_checked_at, send.discovery = 0, SimpleNamespace(wait_until_caught_up=lambda: order.append("waits"))
-    dialled.set()
+        client_writer = pool.open_txns.by_id[attempt.ident].client_writer
+        monkeypatch.setattr(client_writer, "check_client", slow_check(client_writer.check_client, order))
+        connection = pool.enqueue(attempt)
+    pool.discovery_checked_at, pool.discovery = 0, SimpleNamespace(wait_until_caught_up=lambda: order.append("waits"))
+    connects_allowed.set()
     until(lambda: len(cache.wants) == 2)
-    assert order == ["waits", 5, 6] and lane.connected
+    assert order == ["waits", 5, 6] and connection.connected
 
 
 def test_a_cancel_that_came_while_its_reader_waited_for_discovery_is_heeded(run):
@@ -140,27 +140,27 @@
 
 def test_an_attempt_given_up_as_the_word_of_an_earlier_one_is_out_still_waits_for_its_own():
     """Both are kept by the request's number: taking out the earlier one must not take out what came in its place."""
-    send = sender(Cache(lambda want: None).address)
-    first = open_txn_with_hop(send, staying_client_writer(send))
+    pool = sender(Cache(lambda want: None).address)
+    first = open_txn_with_hop(pool, staying_client_writer(pool))
     second = replace(first, number=1)
-    lane = send.enqueue(second)
-    lane.write_queued()
+    connection = pool.enqueue(second)
+    connection.write_queued()
     until(lambda: second.written_at)
     threads = []
 
-    class Between(dict):
+    class CancelBeforeRemoval(dict):
         """Another attempt of the same request is given up between the look and the removal."""
 
         def __delitem__(self, key):
-            threads.append(threading.Thread(target=lane.remove_hop, args=(second, clock())))
+            threads.append(threading.Thread(target=connection.remove_hop, args=(second, clock())))
             threads[0].start()
             threads[0].join(0.3)
             super().__delitem__(key)
 
-    send.undelivered_cancels = Between({5: first})
-    send.cancel_delivered(first)
+    pool.undelivered_cancels = CancelBeforeRemoval({5: first})
+    pool.cancel_delivered(first)
     threads[0].join()
-    assert send.undelivered_cancels.get(5) is second
+    assert pool.undelivered_cancels.get(5) is second
 
 
 def test_each_request_of_one_late_read_has_its_time_from_its_own_coming(run):
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -16,50 +16,50 @@
 HIT = ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"bytes")
 
 
-class Moody(Notices):
+class ScriptedDiscovery(Notices):
     """Each connection behaves as `moods` says, in their order, the rest as the protocol has it."""
 
-    def __init__(self, *moods):
-        self.moods, self.came = list(moods), []
+    def __init__(self, *behaviours):
+        self.behaviours, self.watches = list(behaviours), []
         super().__init__()
 
     def serve(self, conn):
-        mood = self.moods.pop(0) if self.moods else ""
-        self.came.append((mood, time.monotonic()))
-        if mood == "ends unread":
+        behaviour = self.behaviours.pop(0) if self.behaviours else ""
+        self.watches.append((behaviour, time.monotonic()))
+        if behaviour == "ends unread":
             return conn.close()
-        if not mood:
+        if not behaviour:
             return super().serve(conn)
         conn.makefile("rb").readline()
-        if mood == "ends":
+        if behaviour == "ends":
             return conn.close()
-        if mood == "half a line":
+        if behaviour == "half a line":
             conn.sendall(json.dumps(self.events[-1]).encode()[:40])
-        elif mood == "the last line cut off":
+        elif behaviour == "the last line cut off":
             conn.sendall(json.dumps(self.events[-1]).encode()[:-1])
             return conn.close()
-        elif mood == "numbers alone":
+        elif behaviour == "numbers alone":
             while True:
                 conn.sendall(b"%d\n" % self.events[-1]["rev"])
                 time.sleep(0.2)
-        elif mood == "an old number":
+        elif behaviour == "an old number":
             while True:
                 conn.sendall(b"1\n")
                 time.sleep(0.2)
-        elif mood == "noise":
+        elif behaviour == "noise":
             conn.sendall(b"\xff{]\n" * 3)
         while conn.recv(4096):  # silent
             pass
 
 
-def drain(caches, rev=2, name="c0"):
+def drain_event(caches, rev=2, name="c0"):
     return {
         "rev": rev,
         "pool": {"index": rev, "snapshot": False, "endpoints": [endpoint(name, caches[int(name[1:])].address, status="draining")]},
     }
 
 
-def ask_many(client, first, count=12):
+def expect_answers(client, first, count=12):
     """So many txns, over enough objects that each cache would have some; all are to be served."""
     for stream in range(first, first + count):
         client.ask(stream, item=f"{stream * 7919:016x}")
@@ -67,17 +67,17 @@
     assert {(a[1], a[2]) for a in answers} == {(stream, 79) for stream in range(first, first + count)}
 
 
-def heeds(service, caches, last=2, limit=20.0):
+def expect_drained(service, caches, last=2, limit=20.0):
     """The drain of c0 takes hold, and from then on nothing goes there."""
     until(lambda: f"last={last}" in service.lines() or service.board.sent[-1:] == [last], limit=limit)
     time.sleep(0.3)
     before = len(caches[0].wants)
-    ask_many(service.client(), 100)
+    expect_answers(service.client(), 100)
     assert len(caches[0].wants) == before and len(caches[1].wants) >= 12
 
 
 @pytest.mark.parametrize(
-    "moods, most_s",
+    "moods, max_s",
     [
         (["silent"], SILENCE_LIMIT_S),
         (["silent"] * 2, 2 * SILENCE_LIMIT_S),
@@ -90,16 +90,16 @@
         (["ends", "silent", "numbers alone", "the last line cut off"], SILENCE_LIMIT_S),
     ],
 )
-def test_a_drain_told_to_a_watch_that_goes_wrong_takes_hold_once_the_next_one_is_heard(run, moods, most_s):
+def test_a_drain_told_to_a_watch_that_goes_wrong_takes_hold_once_the_next_one_is_heard(run, moods, max_s):
     """From the first connection on, so also in the first seconds; the router never stays with a watch that will not speak again."""
-    caches, board = [Cache(lambda want: HIT) for _ in range(2)], Moody(*moods)
-    board.events.append(drain(caches))
+    caches, board = [Cache(lambda want: HIT) for _ in range(2)], ScriptedDiscovery(*moods)
+    board.events.append(drain_event(caches))
     began = time.monotonic()
     service = run(*caches, notices=board)
     until(lambda: board.sent)
-    took = board.came[-1][1] - board.came[0][1]
-    assert len(board.came) == len(moods) + 1 and took < most_s + 1.0 * len(moods) + 0.5, (took, time.monotonic() - began)
-    heeds(service, caches)
+    took = board.watches[-1][1] - board.watches[0][1]
+    assert len(board.watches) == len(moods) + 1 and took < max_s + 1.0 * len(moods) + 0.5, (took, time.monotonic() - began)
+    expect_drained(service, caches)
 
 
 def test_a_watch_that_falls_silent_after_it_spoke_is_asked_anew_and_misses_nothing(run):
@@ -118,53 +118,53 @@
 
     board.serve = serve
     service = run(*caches, notices=board)
-    ask_many(service.client(), 1)
-    board.events.append(drain(caches))
+    expect_answers(service.client(), 1)
+    board.events.append(drain_event(caches))
     began = time.monotonic()
-    heeds(service, caches, limit=SILENCE_LIMIT_S + 2)
+    expect_drained(service, caches, limit=SILENCE_LIMIT_S + 2)
     assert board.watched == [1, 1] and time.monotonic() - began < SILENCE_LIMIT_S + 3
 
 
 def test_a_number_that_never_grows_is_no_word_of_what_comes_later(run):
     """A heartbeat without events keeps the watch; the event that comes in the end is heeded at once."""
-    caches, board = [Cache(lambda want: HIT) for _ in range(2)], Moody("an old number")
+    caches, board = [Cache(lambda want: HIT) for _ in range(2)], ScriptedDiscovery("an old number")
     service = run(*caches, notices=board)
-    ask_many(service.client(), 1)
+    expect_answers(service.client(), 1)
     time.sleep(SILENCE_LIMIT_S + 0.5)
-    assert len(board.came) == 1 and "event=lost" not in service.lines()
-    board.events.append(drain(caches))
+    assert len(board.watches) == 1 and "event=lost" not in service.lines()
+    board.events.append(drain_event(caches))
     board.conns[0].sendall(json.dumps(board.events[0]).encode() + b"\n")
     board.sent.append(2)
-    heeds(service, caches)
+    expect_drained(service, caches)
 
 
 @pytest.mark.parametrize("first", ["silent", "refuses", "never comes up", "half a line"])
 def test_a_move_takes_hold_whatever_the_old_watch_is_at(run, first):
     """Between connect and the first read, in the middle of a line, before the connection is up, in the pause after one was refused."""
     caches, new = [Cache(lambda want: HIT) for _ in range(2)], Notices()
-    new.events.append(drain(caches))
-    old, crowd = Moody(*[first] * 9), []
-    old.events.append(drain(caches))
+    new.events.append(drain_event(caches))
+    old, pending_sockets = ScriptedDiscovery(*[first] * 9), []
+    old.events.append(drain_event(caches))
     where = old.address
     if first == "refuses":
         where = "127.0.0.1:%d" % free_port("127.0.0.1")
     if first == "never comes up":
-        full = socket.create_server(("127.0.0.1", 0), backlog=0)
-        where = "127.0.0.1:%d" % full.getsockname()[1]
+        full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
+        where = "127.0.0.1:%d" % full_listener.getsockname()[1]
         for _ in range(4):
-            crowd.append(socket.socket())
-            crowd[-1].setblocking(False)
-            crowd[-1].connect_ex(full.getsockname())
+            pending_sockets.append(socket.socket())
+            pending_sockets[-1].setblocking(False)
+            pending_sockets[-1].connect_ex(full_listener.getsockname())
     service = run(*caches, notices=old, board=where)
     service.client()
     if first in ("silent", "half a line"):
-        until(lambda: old.came)
+        until(lambda: old.watches)
     began = time.monotonic()
     service.reload(board=new.address)
     until(lambda: new.watched, limit=5)
     assert time.monotonic() - began < 1.0 and new.watched == [1]
     service.board = new
-    heeds(service, caches)
+    expect_drained(service, caches)
 
 
 def test_of_two_moves_in_a_row_the_last_one_counts_also_past_an_address_that_is_down(run):
@@ -175,12 +175,12 @@
     for where in (boards[1].address, down, boards[2].address):
         service.reload(board=where)
     until(lambda: boards[2].watched)
-    boards[2].events.append(drain(caches))
+    boards[2].events.append(drain_event(caches))
     service.board = boards[2]
-    heeds(service, caches)
+    expect_drained(service, caches)
     service.reload(board=down)
     until(lambda: "refused" in service.lines().lower())
-    ask_many(service.client(), 200)  # by the last list that it heard
+    expect_answers(service.client(), 200)  # by the last list that it heard
     service.reload(board=boards[1].address)
     until(lambda: boards[1].watched[-1:] == [2])
 
@@ -194,21 +194,21 @@
     idle = []
     for _ in range(150):
         idle.append(socket.create_connection(client.sock.getpeername(), timeout=20))
-    busy = cpu(service.process.pid)
-    ask_many(Client(service.address), 1)
+    cpu_before = cpu_seconds(service.process.pid)
+    expect_answers(Client(service.address), 1)
     time.sleep(1.0)
-    assert cpu(service.process.pid) - busy < 0.7
+    assert cpu_seconds(service.process.pid) - cpu_before < 0.7
 
-    class There(Notices):
+    class RestartedDiscovery(Notices):
         def __init__(self):
-            self.events, self.watched, self.sent, self.wait, self.numbers, self.conns = [drain(caches)], [], [], 0.0, True, []
+            self.events, self.watched, self.sent, self.wait, self.numbers, self.conns = [drain_event(caches)], [], [], 0.0, True, []
             self.sock = socket.create_server(("127.0.0.1", port))
             threading.Thread(target=self.run, daemon=True).start()
 
     for _ in range(60):
         idle.append(socket.create_connection(client.sock.getpeername(), timeout=20))
-    service.board = There()
-    heeds(service, caches)
+    service.board = RestartedDiscovery()
+    expect_drained(service, caches)
     assert "event=accept" not in service.lines()
 
 
@@ -217,19 +217,19 @@
     cache = Cache(lambda want: HIT)
     service = run(cache)
     first = service.client()
-    ask_many(first, 1)
+    expect_answers(first, 1)
     there = len(os.listdir(f"/proc/{service.process.pid}/fd"))
     resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (there + 5, there + 5))
     idle = [socket.create_connection(first.sock.getpeername(), timeout=20) for _ in range(20)]
     until(lambda: "event=accept" in service.lines())
-    busy, began = cpu(service.process.pid), time.monotonic()
-    ask_many(Client(service.address), 100)
+    cpu_before, began = cpu_seconds(service.process.pid), time.monotonic()
+    expect_answers(Client(service.address), 100)
     assert time.monotonic() - began < 3
     time.sleep(1.0)
-    assert cpu(service.process.pid) - busy < 0.7 and len(idle) == 20
+    assert cpu_seconds(service.process.pid) - cpu_before < 0.7 and len(idle) == 20
 
 
-def cpu(pid):
+def cpu_seconds(pid):
     """Seconds of processor time so far."""
     row = open(f"/proc/{pid}/stat").read().rsplit(")", 1)[1].split()
     return (int(row[11]) + int(row[12])) / os.sysconf("SC_CLK_TCK")
