--- a/tests/test_containment.py
+++ b/tests/test_containment.py
@@ -1,4 +1,5 @@
-"""Errors that nobody foresaw, planted: each costs what it happened in, every request has its one final answer, and no process ends."""
+"""Unforeseen errors are injected. Each costs only the work in which it occurs, every request gets its one final answer, and no process
+ends."""
 
 import os
 import time
@@ -10,7 +11,7 @@
 from fieldspur.net import invariants
 from fieldspur.net.invariants import keep_running
 
-PLANT = """
+INJECTED_CODE = """
 import itertools
 from fieldspur.net.{module} import {owner}
 calls, real = itertools.count(1), {owner}.{name}
@@ -20,8 +21,8 @@
     return real({arguments})
 {owner}.{name} = planted
 """
-# What fails: module and class, method, its arguments, each how many calls; and where it is to be contained.
-PLANTED = {
+# By what fails: ((module, class, method, arguments, every which call fails), the place where the error is to be contained).
+INJECTED_ERRORS = {
     "a connection is looked for": (("connection_pool", "ConnectionPool", "connection_for", "self, hop", 2), "event"),
     "an attempt's end is decided on": (("router_host", "RouterHost", "hop_ended", "self, *about", 3), "event"),
     "a request is decided on": (("router_host", "RouterHost", "txn_arrived", "self, txn", 3), "event"),
@@ -33,15 +34,15 @@
 }
 
 
-@pytest.mark.parametrize("what", PLANTED)
-def test_an_unforeseen_error_costs_what_it_happened_in_and_no_other(run, tmp_path, what):
-    about, place = PLANTED[what]
+@pytest.mark.parametrize("what", INJECTED_ERRORS)
+def test_an_unforeseen_error_costs_only_the_work_in_which_it_occurs(run, tmp_path, what):
+    target, place = INJECTED_ERRORS[what]
     folder = tmp_path / "planted"
     folder.mkdir()
-    code = PLANT.format(**dict(zip(("module", "owner", "name", "arguments", "every"), about)))
+    code = INJECTED_CODE.format(**dict(zip(("module", "owner", "name", "arguments", "every"), target)))
     (folder / "sitecustomize.py").write_text(code)
     service = run(*(Cache() for _ in range(3)), env={"PYTHONPATH": os.pathsep.join([str(folder), str(ROOT)])}, contains=True)
-    client, stream, words = service.client(), 0, []
+    client, stream, statuses = service.client(), 0, []
     for number in range(40):
         stream += 1
         try:
@@ -50,37 +51,37 @@
             frame = client.get()
         except OSError:
             frame = None
-        if frame is None or frame[0] == 66 and not frame[1]:  # this connection is read no further; what was owed has come
+        if frame is None or frame[0] == 66 and not frame[1]:  # this connection is not read any further; all answers on it have arrived
             client, stream = Client(service.address), 0
             continue
         assert frame[:2] == (66, stream) and time.monotonic() - began < 1.5, number
-        words.append(frame[2])
+        statuses.append(frame[2])
     until(lambda: f"place={place}" in service.lines(), limit=5)
-    assert len(words) >= 30 and words.count(79) >= 8, words
+    assert len(statuses) >= 30 and statuses.count(79) >= 8, statuses
     assert service.process.poll() is None and "event=crashed" not in service.lines()
-    late = service.client()
-    late.ask(1, txn="f" * 16, item="f" * 16, limit="1000")
-    assert late.get()[:2] == (66, 1)
+    last_client = service.client()
+    last_client.ask(1, txn="f" * 16, item="f" * 16, limit="1000")
+    assert last_client.get()[:2] == (66, 1)
     assert service.end() == 0
 
 
-def test_work_that_the_program_needs_goes_on_after_an_error_and_ends_the_program_where_it_never_does(monkeypatch):
+def test_keep_running_restarts_work_after_an_error_and_raises_it_when_it_never_stops(monkeypatch):
     monkeypatch.setattr(invariants, "RESTART_PAUSE_S", 0.0)
     calls = []
 
-    def fails_twice():
+    def fail_twice():
         calls.append(1)
         if len(calls) < 3:
             raise ValueError("for a moment")
         return "done"
 
-    assert keep_running("test", fails_twice) == "done"
+    assert keep_running("test", fail_twice) == "done"
     calls.clear()
 
-    def fails():
+    def fail_always():
         calls.append(1)
         raise ValueError("for ever")
 
     with pytest.raises(ValueError):
-        keep_running("test", fails)
+        keep_running("test", fail_always)
     assert len(calls) == invariants.MAX_CONSECUTIVE_ERRORS
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -1,4 +1,4 @@
-"""Cache servers that crash together while discovery removes them and lists them again: the incident of issue 40 and its class."""
+"""Cache servers that crash together while discovery removes them and lists them again (issue 40), and similar cases."""
 
 import itertools
 import socket
@@ -18,7 +18,7 @@
 
 
 class RunsBeforeLock:
-    """A lock before which another thread has its turn, once: `first` is run there."""
+    """A lock that runs `first` once, before its first acquisition, as if another thread ran there."""
 
     def __init__(self, lock, first):
         self.lock, self.first = lock, first
@@ -29,12 +29,12 @@
             first()
         return self.lock.__enter__()
 
-    def __exit__(self, *about):
-        return self.lock.__exit__(*about)
+    def __exit__(self, *exc_info):
+        return self.lock.__exit__(*exc_info)
 
 
 class Crashing(Cache):
-    """A cache whose process dies, so that its connections reset and further ones are refused, and comes back at its address."""
+    """A cache whose process can crash and come back at the same address. A crash resets its connections and refuses further ones."""
 
     def crash(self):
         self.sock.shutdown(socket.SHUT_RDWR)
@@ -47,8 +47,8 @@
         threading.Thread(target=self.run, daemon=True).start()
 
 
-def test_a_server_that_discovery_removes_while_an_attempt_gets_its_connection_costs_that_attempt_alone():
-    """Issue 40: the attempt found its server listed, and then asked for its address where it was listed no more."""
+def test_a_server_removed_while_an_attempt_gets_its_connection_costs_only_that_attempt():
+    """Issue 40: an attempt found its server listed, and looked up the address after the server had been removed."""
     cache = Cache()
     pool = sender(cache.address)
     attempt = open_txn_with_hop(pool, staying_client_writer(pool))
@@ -62,17 +62,17 @@
     connection = pool.enqueue(attempt)
     if connection is not None:
         connection.write_queued()
-    assert [about[:2] for about in until(lambda: pool.host.posted)] == [(attempt, "unsent")]
+    assert [arguments[:2] for arguments in until(lambda: pool.host.posted)] == [(attempt, "unsent")]
     removal.join()
     assert not attempt.written_at and not cache.wants
 
 
-def test_servers_that_crash_together_and_are_removed_and_listed_again_end_no_router(tmp_path):
-    """Issue 40 as processes: 4 of 38 routers ended within 0.2 s of such a crash; here the router ended in seven runs of seven."""
+def test_servers_that_crash_together_and_are_listed_again_end_no_router(tmp_path):
+    """Issue 40 with processes: 4 of 38 routers ended within 0.2 s of such a crash; in this test the router ended in seven of seven runs."""
     caches = [Crashing() for _ in range(12)]
     service = Service(tmp_path, caches)
     service.client()
-    stop = threading.Event()
+    stop = threading.Event()  # ends the client threads
     clients = [threading.Thread(target=send_requests, args=(service, stop, number)) for number in range(3)]
     for client in clients:
         client.start()
@@ -98,11 +98,11 @@
         service.process.kill()
         service.process.wait()
     assert client, "the router answers that it is ready"
-    assert not any(f"event={word}" in service.lines() for word in ("crashed", "broken", "contained"))
+    assert not any(f"event={event}" in service.lines() for event in ("crashed", "broken", "contained"))
 
 
 def send_requests(service, stop, number):
-    """A client that asks for an object of its own each 4 ms, whatever becomes of it."""
+    """A client that requests another object every 4 ms, without regard to the answers."""
     client, streams = service.client(), itertools.count(1)
     threading.Thread(target=lambda: list(iter(client.get, None)), daemon=True).start()
     while not stop.is_set():
@@ -115,7 +115,7 @@
         time.sleep(0.004)
 
 
-def test_a_crash_s_line_tells_the_error_its_text_and_its_place():
+def test_error_fields_are_the_type_the_text_and_the_place_of_an_error():
     try:
         {}["s-1"]
     except KeyError as error:
@@ -136,8 +136,8 @@
     assert counter.log_fields("closed") == {"closed_idle": 2 * counted, "closed_descriptors": counted}
 
 
-def test_an_attempt_goes_to_where_its_server_is_listed_now_whatever_connection_stands():
-    """A server that is listed at another address: its old connection leads to a process that was removed, or to another server's."""
+def test_an_attempt_goes_to_the_current_address_of_its_server():
+    """The server is listed at another address, and its old connection leads to a removed process or to another server."""
     old, new = Cache(lambda want: None), Cache(lambda want: None)
     pool = sender(old.address)
     pool.enqueue(open_txn_with_hop(pool, staying_client_writer(pool), ident=5)).write_queued()
@@ -149,7 +149,7 @@
     assert len(old.wants) == len(new.wants) == 1
 
 
-def test_an_attempt_that_waits_for_a_server_that_is_listed_elsewhere_meanwhile_is_not_written_there(monkeypatch):
+def test_a_waiting_attempt_is_not_written_to_the_old_address_of_its_server(monkeypatch):
     old, new = Cache(lambda want: None), Cache(lambda want: None)
     pool = sender(old.address)
     attempt = open_txn_with_hop(pool, staying_client_writer(pool))
@@ -158,19 +158,19 @@
     host, port = new.address.split(":")
     pool.update_endpoint("c0", (host, int(port)), "up")
     connects_allowed.set()
-    assert [about[:2] for about in until(lambda: pool.host.posted)] == [(attempt, "unsent")]
+    assert [arguments[:2] for arguments in until(lambda: pool.host.posted)] == [(attempt, "unsent")]
     assert not attempt.written_at and not old.wants
 
 
 def block_connects(monkeypatch):
-    """From now on, connections come up only once the event given back is set."""
+    """From now on, connects wait until the returned event is set."""
     connects_allowed, connect = threading.Event(), socket.socket.connect
-    monkeypatch.setattr(socket.socket, "connect", lambda sock, where: (connects_allowed.wait(5), connect(sock, where)))
+    monkeypatch.setattr(socket.socket, "connect", lambda sock, address: (connects_allowed.wait(5), connect(sock, address)))
     return connects_allowed
 
 
-def test_an_attempt_that_was_decided_for_a_process_does_not_go_to_the_one_that_was_started_in_its_place(monkeypatch):
-    """It was in no budget of the new one's slow start. The Router hears of the start in its turn, and decides anew after that."""
+def test_an_attempt_is_not_written_to_a_process_that_replaced_the_one_it_was_decided_for(monkeypatch):
+    """The attempt is not in the slow-start budget of the new process. The Router gets the list change first and then decides again."""
     for restarts in ("server", "source"):
         cache = Cache(lambda want: None)
         pool, router_host = make_router_host(cache)
@@ -178,7 +178,7 @@
         router_host.list_received(ListChange(False, (parent,)))
         open_txn_with_hop(pool, staying_client_writer(pool), ident=5)
         connects_allowed = block_connects(monkeypatch)
-        with router_host.lock:  # the Router is at something, and has not heard of the start
+        with router_host.lock:  # the Router is busy and has not received the list change
             router_host.send_hop(5, "c0", clock() + 3 * SECOND, "p0", 0, 0, False, False, True, NEVER)
             connection = router_host.outbox[-1][0]
             before = listed_server(cache, "up") if restarts == "server" else parent
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -1,4 +1,4 @@
-"""State that several threads touch, each crossing forced: what is looked at and what is used is one and the same."""
+"""State that several threads share. Each test forces a race between the check of a state and its use."""
 
 import signal
 import socket
@@ -20,7 +20,7 @@
 
 
 class EmptiedQueue(deque):
-    """A queue out of which another thread takes all between a look at it and the first use of that."""
+    """A queue that another thread empties between a check of the queue and the first `popleft`."""
 
     emptied = False
 
@@ -31,8 +31,8 @@
         return super().popleft()
 
 
-def test_an_attempt_that_is_taken_back_in_the_moment_of_its_write_costs_nobody_else(monkeypatch):
-    """A purge or a change of the list takes attempts out of a connection's queue, by its own thread."""
+def test_an_attempt_that_is_taken_back_at_the_moment_of_its_write_affects_no_other(monkeypatch):
+    """The thread that handles a purge or a list change takes attempts out of a connection's queue."""
     failed, before = [], contained_errors.log_fields().get("contained_write")
     monkeypatch.setattr(threading, "excepthook", failed.append)
     cache = Cache(lambda want: None)
@@ -45,16 +45,18 @@
     until(lambda: connection.connected and connection.queue.emptied)
     pool.enqueue(open_txn_with_hop(pool, staying_client_writer(pool), ident=6)).write_queued()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
-    assert not failed and contained_errors.log_fields().get("contained_write") == before  # contained is not mended
+    assert (
+        not failed and contained_errors.log_fields().get("contained_write") == before
+    )  # the error must not occur at all, contained or not
 
 
 def test_a_probe_that_is_cut_by_a_full_socket_is_finished_like_any_message():
-    """It carries no request, and so no key, which the thread that finishes it asked for."""
+    """A probe has no `want`, but the thread that finished the write looked for the key in it."""
     cache = Stalled()
     pool = sender(cache.address)
     probe = Hop(0, 1, "busy-1", "c0", None, None, clock())
     connection = pool.enqueue(probe)
-    connection.write_queued()  # as who hands over an attempt does: the connection may have come up before that waited in it
+    connection.write_queued()  # like the thread that queued the hop: the connection may have been established before
     until(lambda: connection.connected)
     until(lambda: not connection.queue)
     failed = []
@@ -76,7 +78,7 @@
 
 
 def slow_check(check, order):
-    """A look at a client that takes longer than discovery's last word is good for."""
+    """Returns a check of a client that takes longer than the last check for discovery events is valid."""
 
     def check_slowly(hop):
         order.append(hop.ident)
@@ -86,8 +88,8 @@
     return check_slowly
 
 
-def test_attempts_of_one_write_wait_for_discovery_before_they_are_looked_at_and_not_between(monkeypatch):
-    """Else the first of them goes out by what was right before that wait, its deadline too large by it."""
+def test_the_attempts_of_one_write_wait_for_discovery_before_their_checks_and_not_in_between(monkeypatch):
+    """Otherwise the first of them would go out by a check from before the wait, and with a time limit that is too large."""
     cache, order = Cache(lambda want: None), []
     pool = sender(cache.address)
     attempts = [open_txn_with_hop(pool, staying_client_writer(pool), ident=ident, taken_ms_ago=50) for ident in (5, 6)]
@@ -103,9 +105,9 @@
     assert order == ["waits", 5, 6] and connection.connected
 
 
-def test_a_cancel_that_came_while_its_reader_waited_for_discovery_is_heeded(run):
-    """Found by the soak (seed 1013; 521 is alike): an attempt begun 181 ms after its client had left, while a watch was cut. The reader
-    had put the attempt by for itself to read on, and let it go without having read on."""
+def test_a_cancel_that_arrives_while_its_reader_waits_for_discovery_takes_effect(run):
+    """Found by the soak (seeds 1013 and 521): an attempt began 181 ms after its client had left, while the connection to discovery was cut.
+    The client's reader had put the attempt aside until it had read on, and then released it without having read on."""
     cache = Cache(lambda want: ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"x") if want["id"] == "%016x" % 1 else None)
     service = run(cache)
     other = service.client()
@@ -114,8 +116,8 @@
     service.board.sock.close()
     service.board.reset()
     other.ask(1)
-    assert other.get()[1:3] == (1, 79)  # the connection to the server stands, and nothing is repeated on it
-    time.sleep(SILENCE_LIMIT_S)  # from now on, a write waits a moment for discovery's word
+    assert other.get()[1:3] == (1, 79)  # the connection to the server is established
+    time.sleep(SILENCE_LIMIT_S)  # from now on, a write waits a moment for discovery
     client = service.client()
     client.ask(2)
     time.sleep(CATCH_UP_LIMIT_S / 2)
@@ -124,8 +126,8 @@
     assert "%016x" % 2 not in [want["id"] for want in cache.wants]
 
 
-def test_a_request_s_time_counts_from_its_coming_also_where_it_is_read_in_pieces(run, tmp_path):
-    """Found by the soak (seed 1030; 524 is alike): the first piece's read told that it had lain there, the last one's did not."""
+def test_a_request_s_time_counts_from_its_arrival_even_if_it_is_read_in_pieces(run, tmp_path):
+    """Found by the soak (seeds 1030 and 524): the read of the first piece showed a wait in the socket, the last one did not."""
     faults = shim.Shim(tmp_path, shim.build(tmp_path), 0, 1)
     service = run(cache := Cache(lambda want: None), env=faults.env)
     client = service.client()
@@ -138,8 +140,8 @@
     assert faults.fired()["shorten"]
 
 
-def test_an_attempt_given_up_as_the_word_of_an_earlier_one_is_out_still_waits_for_its_own():
-    """Both are kept by the request's number: taking out the earlier one must not take out what came in its place."""
+def test_an_attempt_cancelled_while_an_earlier_cancel_is_delivered_keeps_its_own_entry():
+    """Both are kept under the request's number: removing the earlier one must not remove the one that has replaced it."""
     pool = sender(Cache(lambda want: None).address)
     first = open_txn_with_hop(pool, staying_client_writer(pool))
     second = replace(first, number=1)
@@ -149,7 +151,7 @@
     threads = []
 
     class CancelBeforeRemoval(dict):
-        """Another attempt of the same request is given up between the look and the removal."""
+        """Between the check and the removal, another attempt of the same request is cancelled."""
 
         def __delitem__(self, key):
             threads.append(threading.Thread(target=connection.remove_hop, args=(second, clock())))
@@ -163,11 +165,11 @@
     assert pool.undelivered_cancels.get(5) is second
 
 
-def test_each_request_of_one_late_read_has_its_time_from_its_own_coming(run):
-    """Seen with 36 routers on one core, and here each time: a router is stopped, a request comes, 0.6 s later another, and it goes on. Both
-    were read at once, and TCP_INFO told 0 ms, for it tells of the last bytes alone (time stamps too: the kernel joins what lies there).
-    The first passed on 2474 of its 2500 ms, with 1900 left. Its reader now dates it no later than the last tick of the sweep before the
-    stop, which the late tick after it names, or by its own wait for a core (`fieldspur/net/arrival_times.py`)."""
+def test_each_request_of_one_late_read_counts_from_its_own_arrival(run):
+    """A router is stopped, a request arrives, another one 0.6 s later, and the router continues. Both are read at once, and TCP_INFO
+    reports 0 ms, because it only covers the last bytes (as do time stamps: the kernel joins the data in a socket). The first request then
+    passed on 2474 of its 2500 ms with 1900 ms left. The reader now dates it no later than the last sweep tick before the stop, which the
+    late tick after it reveals, or by its own wait for a CPU (`fieldspur/net/arrival_times.py`)."""
     service = run(cache := Cache(lambda want: None))
     client = service.client()
     pause(service.process)
@@ -180,9 +182,9 @@
     assert limits["%016x" % 2] > 2000 and limits["%016x" % 1] <= 2500 - 600 + 150
 
 
-def test_requests_of_one_late_read_that_comes_in_pieces_have_their_time_from_their_own_coming(run, tmp_path):
-    """As above, and each read brings some bytes only: what ends a request may be read with the head of the next, or alone. The first read
-    found that nothing had lain there, by the last bytes, and all that followed counted as new."""
+def test_requests_of_one_late_read_in_pieces_count_from_their_own_arrival(run, tmp_path):
+    """As above, but each read returns a few bytes only: the end of a request may be read together with the head of the next, or alone. By
+    the last bytes, the first read found no wait in the socket, and all further bytes counted as new."""
     faults = shim.Shim(tmp_path, shim.build(tmp_path), 0, 1)
     service = run(cache := Cache(lambda want: None), env=faults.env)
     client = service.client()
@@ -198,8 +200,8 @@
     assert faults.fired()["shorten"]
 
 
-def test_requests_that_a_client_sends_together_after_a_rest_keep_their_whole_time(run):
-    """Nothing tells that such a read is late: its requests came when they were read."""
+def test_requests_that_a_client_sends_together_after_a_pause_keep_their_whole_time(run):
+    """There is no sign that such a read is late: its requests count as received when they are read."""
     service = run(cache := Cache())
     client = service.client()
     client.ask(1, limit="2500")
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -1,4 +1,4 @@
-"""Watches of the notice board that break, fall silent or move in the wrong moment. The table is docs/design/crossings.md."""
+"""Connections to discovery ("watches") that break, fall silent or move at the wrong moment. docs/design/crossings.md has the table."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 
 
 class ScriptedDiscovery(Notices):
-    """Each connection behaves as `moods` says, in their order, the rest as the protocol has it."""
+    """A discovery service whose first connections behave as `behaviours` says, in this order; the rest follow the protocol."""
 
     def __init__(self, *behaviours):
         self.behaviours, self.watches = list(behaviours), []
@@ -60,7 +60,7 @@
 
 
 def expect_answers(client, first, count=12):
-    """So many txns, over enough objects that each cache would have some; all are to be served."""
+    """Sends requests for so many objects that each cache would get some; all of them have to be completed."""
     for stream in range(first, first + count):
         client.ask(stream, item=f"{stream * 7919:016x}")
     answers = [client.get() for _ in range(count)]
@@ -68,7 +68,7 @@
 
 
 def expect_drained(service, caches, last=2, limit=20.0):
-    """The drain of c0 takes hold, and from then on nothing goes there."""
+    """Waits until the drain of c0 has reached the router, and checks that c0 gets no requests any more."""
     until(lambda: f"last={last}" in service.lines() or service.board.sent[-1:] == [last], limit=limit)
     time.sleep(0.3)
     before = len(caches[0].wants)
@@ -90,8 +90,8 @@
         (["ends", "silent", "numbers alone", "the last line cut off"], SILENCE_LIMIT_S),
     ],
 )
-def test_a_drain_told_to_a_watch_that_goes_wrong_takes_hold_once_the_next_one_is_heard(run, moods, max_s):
-    """From the first connection on, so also in the first seconds; the router never stays with a watch that will not speak again."""
+def test_a_drain_sent_over_a_faulty_watch_takes_effect_with_the_next_one(run, moods, max_s):
+    """From the first connection on, also in the first seconds: the router never keeps a connection that will stay silent."""
     caches, board = [Cache(lambda want: HIT) for _ in range(2)], ScriptedDiscovery(*moods)
     board.events.append(drain_event(caches))
     began = time.monotonic()
@@ -102,8 +102,8 @@
     expect_drained(service, caches)
 
 
-def test_a_watch_that_falls_silent_after_it_spoke_is_asked_anew_and_misses_nothing(run):
-    """Open, up and silent for ever: what the board has to tell meanwhile comes with the next watch, from the last number on."""
+def test_a_watch_that_falls_silent_is_replaced_and_no_event_is_missed(run):
+    """The connection stays open and silent: the events meanwhile come with the next connection, from the last number on."""
     caches, board, hush = [Cache(lambda want: HIT) for _ in range(2)], Notices(), threading.Event()
     speak = board.serve
 
@@ -125,8 +125,8 @@
     assert board.watched == [1, 1] and time.monotonic() - began < SILENCE_LIMIT_S + 3
 
 
-def test_a_number_that_never_grows_is_no_word_of_what_comes_later(run):
-    """A heartbeat without events keeps the watch; the event that comes in the end is heeded at once."""
+def test_an_event_after_heartbeats_with_an_old_number_takes_effect(run):
+    """Heartbeats without events keep the connection; the event that follows takes effect at once."""
     caches, board = [Cache(lambda want: HIT) for _ in range(2)], ScriptedDiscovery("an old number")
     service = run(*caches, notices=board)
     expect_answers(service.client(), 1)
@@ -139,8 +139,8 @@
 
 
 @pytest.mark.parametrize("first", ["silent", "refuses", "never comes up", "half a line"])
-def test_a_move_takes_hold_whatever_the_old_watch_is_at(run, first):
-    """Between connect and the first read, in the middle of a line, before the connection is up, in the pause after one was refused."""
+def test_a_change_of_address_takes_effect_whatever_the_old_watch_is_doing(run, first):
+    """Between connect and the first read, within a line, before the connect has succeeded, and in the pause after a refused connect."""
     caches, new = [Cache(lambda want: HIT) for _ in range(2)], Notices()
     new.events.append(drain_event(caches))
     old, pending_sockets = ScriptedDiscovery(*[first] * 9), []
@@ -167,7 +167,7 @@
     expect_drained(service, caches)
 
 
-def test_of_two_moves_in_a_row_the_last_one_counts_also_past_an_address_that_is_down(run):
+def test_of_several_address_changes_the_last_one_counts_even_after_an_address_that_is_down(run):
     caches, boards = [Cache(lambda want: HIT) for _ in range(2)], [Notices() for _ in range(3)]
     service = run(*caches, notices=boards[0])
     service.client()
@@ -180,13 +180,14 @@
     expect_drained(service, caches)
     service.reload(board=down)
     until(lambda: "refused" in service.lines().lower())
-    expect_answers(service.client(), 200)  # by the last list that it heard
+    expect_answers(service.client(), 200)  # by the last list that it received
     service.reload(board=boards[1].address)
     until(lambda: boards[1].watched[-1:] == [2])
 
 
-def test_idle_clients_that_fill_the_descriptors_while_discovery_is_down_keep_neither_it_nor_others_out(run):
-    """The program may have 64 in all. The board comes back, is heard and heeded; a client with a request is served; no thread spins."""
+def test_idle_clients_that_use_all_descriptors_lock_out_neither_discovery_nor_other_clients(run):
+    """The program may have 64 descriptors. Discovery comes back and its events take effect, a client with a request is served, and no
+    thread uses the CPU in a loop."""
     caches, port = [Cache(lambda want: HIT) for _ in range(2)], free_port("127.0.0.1")
     service = run(*caches, board=f"127.0.0.1:{port}", limits={"cores": 1.0, "memory_mb": 192, "sockets": 64})
     client = service.client()
@@ -212,8 +213,8 @@
     assert "event=accept" not in service.lines()
 
 
-def test_where_the_system_gives_no_descriptor_idle_clients_are_let_go_and_accept_does_not_spin(run):
-    """Fewer than the file says, as where something else has taken them."""
+def test_without_free_descriptors_idle_clients_are_closed_and_accept_does_not_spin(run):
+    """The process gets fewer descriptors than its file says, as if something else had taken them."""
     cache = Cache(lambda want: HIT)
     service = run(cache)
     first = service.client()
@@ -230,6 +231,6 @@
 
 
 def cpu_seconds(pid):
-    """Seconds of processor time so far."""
+    """CPU seconds that the process has used so far."""
     row = open(f"/proc/{pid}/stat").read().rsplit(")", 1)[1].split()
     return (int(row[11]) + int(row[12])) / os.sysconf("SC_CLK_TCK")
