--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, and waits that change what a decision was made on: found by the soak, or by reading for it."""
+"""System calls that fail for a moment, and waits after which a decision is outdated. Found by the soak or by code review."""
 
 import errno
 import os
@@ -30,7 +30,7 @@
 
 
 class Failing:
-    """A listener whose accept fails a few times before it does as it should."""
+    """A listener whose accept fails with the given error numbers before it works."""
 
     def __init__(self, listener, *numbers):
         self.listener, self.numbers = listener, list(numbers)
@@ -45,7 +45,7 @@
 
 
 class ClosedDuringPoll:
-    """A socket that its owner closes, by `end`, between two looks at its descriptor, unless the look keeps it from that."""
+    """A socket that its owner closes, by `end`, between two uses of its descriptor, unless the code that uses it prevents that."""
 
     def __init__(self, sock, end, wait=0.2):
         self.sock, self.end, self.wait, self.ending = sock, end, wait, None
@@ -59,7 +59,7 @@
         return number
 
 
-# Known failures.
+# The list of known failures.
 
 
 @pytest.mark.parametrize(
@@ -85,13 +85,13 @@
 # Attempts that wait.
 
 
-def test_the_time_limit_passed_on_is_what_its_client_has_left_as_the_attempt_is_written(monkeypatch):
-    """Found by the soak (seeds 3, 6, 11, 12 of 2026-12-02): 3974 ms passed on where the client had 3748 left."""
+def test_the_time_limit_passed_on_is_the_time_left_when_the_attempt_is_written(monkeypatch):
+    """Found by the soak (seeds 3, 6, 11, 12 of 2026-12-02): 3974 ms were passed on while the client had 3748 ms left."""
     connect = socket.socket.connect
     monkeypatch.setattr(socket.socket, "connect", lambda sock, where: (time.sleep(0.4), connect(sock, where)))
     cache = Cache(lambda want: None)
     pool = sender(cache.address)
-    pool.enqueue(hop_with_limit(pool, 3000)).write_queued()  # its connection comes up late
+    pool.enqueue(hop_with_limit(pool, 3000)).write_queued()  # its connect takes 0.4 s
     until(lambda: cache.wants)
     other = hop_with_limit(pool, 3000, ident=6, taken_ms_ago=50)
     client_writer = pool.open_txns.by_id[6].client_writer
@@ -106,8 +106,9 @@
     assert all(2300 <= int(want["limit"]) <= 3000 - 400 + 150 for want in cache.wants)
 
 
-def test_a_request_s_time_counts_from_when_it_came_and_not_from_when_its_reader_had_a_turn(run):
-    """Found by the soak (seed 211): its reader waited 250 ms for word of the board, for others; so after a stop of the process."""
+def test_a_request_s_time_counts_from_its_arrival_and_not_from_its_read(run):
+    """Found by the soak (seed 211): the client's reader waited 250 ms for discovery, for other txns.
+    A stop of the process has the same effect."""
     client_listener, times = make_listener(), {}
     client_listener.admission.handle_request = lambda request, client_writer, now: (
         client_writer.open_stream(request.stream, 7) and not times.update({request.stream: now})
@@ -130,11 +131,11 @@
     assert int(until(lambda: cache.wants)[0]["limit"]) <= 2500 - 600 + 150
 
 
-def test_a_router_that_was_stopped_answers_nothing_that_was_cancelled_meanwhile_also_in_its_time(run):
-    """Found by the soak (seed 407): answered 721 ms after the cancel, which lay unread. What comes later than its limit was asked for."""
+def test_a_router_that_was_stopped_does_not_answer_requests_cancelled_meanwhile(run):
+    """Found by the soak (seed 407): a request was answered 721 ms after its cancel, which lay unread in the socket."""
     cache = Cache(lambda want: None)
     service = run(cache)
-    for stream in range(1, 9):  # which thread goes on first is chance
+    for stream in range(1, 9):  # which thread continues first is a matter of chance
         client = service.client()
         client.ask(stream)
         until(lambda: len(cache.wants) == stream)
@@ -148,8 +149,8 @@
         assert client.get()[:2] == (81, 1 << 30), f"an answer to what was cancelled, {stream}"
 
 
-def test_a_cancel_that_came_while_an_attempt_waited_for_a_slow_reader_is_heeded():
-    """Found by the soak (seed 207): an attempt begun 181 ms after its client had left. It waited once, whatever came meanwhile."""
+def test_a_cancel_that_arrives_while_an_attempt_waits_for_a_slow_reader_takes_effect():
+    """Found by the soak (seed 207): an attempt began 181 ms after its client had left. It waited only once, whatever arrived meanwhile."""
     cache = Cache(lambda want: None)
     pool = sender(cache.address)
     attempt = hop_with_limit(pool, 3000, ident=6, taken_ms_ago=50)
@@ -159,7 +160,7 @@
     connection = pool.enqueue(attempt)
     connection.write_queued()
     until(lambda: client_writer.waiting_hops == [attempt])
-    time.sleep(0.15)  # its reader works for others meanwhile
+    time.sleep(0.15)  # its reader is busy with other txns
     client_writer.client_sock.sendall(b"cancel")
     until(lambda: len(client_writer.sock.recv(100, socket.MSG_PEEK)) == 13)
     client_writer.processed_bytes += len(client_writer.sock.recv(7))
@@ -167,12 +168,12 @@
     assert client_writer.waiting_hops == [attempt] and not attempt.written_at
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
     pool.open_txns.by_id.pop(6)
-    pool.open_txns.by_id = OpenTxns().by_id  # no request stands in for one that was withdrawn
+    pool.open_txns.by_id = OpenTxns().by_id  # the simulated dict would return a request in place of the withdrawn one
     client_writer.release_waiting()
     assert not attempt.written_at and not cache.wants and connection.connected
 
 
-def test_a_dial_that_fails_on_this_machine_for_a_moment_is_tried_again_and_speaks_against_no_server(monkeypatch):
+def test_a_dial_that_fails_on_this_machine_for_a_moment_is_retried_and_counts_against_no_server(monkeypatch):
     for call, numbers in (("connect", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN]), ("socket", [errno.ENFILE, errno.ENOBUFS])):
         cache = Cache(lambda want: None)
         pool = sender(cache.address)
@@ -190,7 +191,7 @@
 
 
 def fails_first(real, numbers):
-    """A call that fails with each of these numbers before it does as it should."""
+    """Returns a call that fails with each of these error numbers before it works."""
 
     def call(*about):
         if numbers:
@@ -201,7 +202,7 @@
 
 
 def hop_with_limit(pool, left_ms, ident=5, taken_ms_ago=0):
-    """An attempt of a request that was taken so long ago and has so long left; its client stays."""
+    """Returns an attempt of a request that was taken `taken_ms_ago` and has `left_ms` left; its client stays connected."""
     hop = open_txn_with_hop(pool, staying_client_writer(pool), ident=ident, taken_ms_ago=taken_ms_ago)
     hop.want.limit_ms, hop.cut_at = left_ms, clock() + left_ms * MS
     return hop
@@ -211,8 +212,8 @@
 
 
 @pytest.mark.parametrize("step", [3600, 30, 3, -3, -3600])
-def test_a_purge_binds_however_the_wall_clock_was_stepped_before_it_was_told(run, tmp_path, step):
-    """Found by the soak (seed 116): by a clock that was 3 s ahead the purge seemed 3 s old, and copies made before it would do."""
+def test_a_purge_applies_however_the_wall_clock_was_stepped_before(run, tmp_path, step):
+    """Found by the soak (seed 116): by a clock 3 s ahead the purge seemed 3 s old, and copies from before the purge were accepted."""
     wall, cache = SettableClock(tmp_path / "clock"), Cache()
     service = run(cache, env=wall.env)
     client = service.client()
@@ -227,26 +228,26 @@
     assert 0 < int(cache.wants[-1].get("within", 0)) < 2000
 
 
-def test_a_server_that_starts_is_in_slow_start_from_its_telling_on_however_the_wall_clock_was_stepped(monkeypatch):
+def test_a_server_is_in_slow_start_from_its_listing_on_however_the_wall_clock_was_stepped(monkeypatch):
     cache, real = Cache(), time.time_ns
     _, router_host = make_router_host(cache)
     for number, step in enumerate((3600, 30, 3, -3, -3600), 1):
         monkeypatch.setattr(time, "time_ns", lambda step=step: real() + step * SECOND)
-        told = replace(listed_server(cache, "up"), name=f"c{number}", started=real() // MS * MS)
+        started_server = replace(listed_server(cache, "up"), name=f"c{number}", started=real() // MS * MS)
         began = clock()
-        router_host.list_received(ListChange(False, (told,)))
-        assert began - 100 * MS <= router_host.router.pool.servers[told.name].started <= clock(), f"a step of {step} s"
-        later = replace(told, name=f"d{number}", started=clock() + 300 * MS)  # told ahead of its start
-        router_host.list_received(ListChange(False, (later,)))
-        assert router_host.router.pool.servers[later.name].started == later.started
+        router_host.list_received(ListChange(False, (started_server,)))
+        assert began - 100 * MS <= router_host.router.pool.servers[started_server.name].started <= clock(), f"a step of {step} s"
+        later_server = replace(started_server, name=f"d{number}", started=clock() + 300 * MS)  # listed before its start
+        router_host.list_received(ListChange(False, (later_server,)))
+        assert router_host.router.pool.servers[later_server.name].started == later_server.started
 
 
 # Discovery, files, the start.
 
 
-def test_a_look_at_a_watch_that_ends_meanwhile_breaks_no_connection_to_a_server(monkeypatch):
-    """It ends for its silence, without the lock of the look. The ValueError of a closed descriptor was taken for the end of the
-    connection that was to be written to."""
+def test_a_poll_of_a_watch_that_ends_meanwhile_breaks_no_connection_to_a_server(monkeypatch):
+    """The connection to discovery ends because of its silence, in another thread. The ValueError of the closed descriptor was taken for the
+    end of the connection to a server."""
     monkeypatch.setattr(discovery_module, "SILENCE_LIMIT_S", 0.3)
     with socket.create_server(("127.0.0.1", 0)) as listener:
         board = DiscoveryClient(listener.getsockname(), SimpleNamespace(start_batch=lambda: None, finish_batch=lambda: None), 1)
@@ -261,7 +262,7 @@
         look.ending.join()
 
 
-def test_a_configuration_that_can_not_be_opened_for_a_moment_is_taken_over_after_it(run):
+def test_a_configuration_that_can_not_be_opened_for_a_moment_is_reloaded_after_it(run):
     other = Notices()
     service = run(Cache())
     _client = service.client()
@@ -275,8 +276,8 @@
     until(lambda: other.watched, limit=5)
 
 
-def test_a_start_in_a_moment_without_descriptors_is_a_start_all_the_same(run, tmp_path):
-    """Found by reading, as a restart under failing `socket`: the program ended for good."""
+def test_a_start_at_a_moment_without_descriptors_succeeds(run, tmp_path):
+    """Found by code review: a start while `socket` fails ended the program for good."""
     faults = shim.Shim(tmp_path, shim.build(tmp_path), 0, 1)
     faults.rate("socket", 1000)
     service = run(Cache(), env=faults.env)
@@ -291,8 +292,8 @@
 # The listener.
 
 
-def test_a_connection_that_was_accepted_as_the_listener_closes_is_in_the_list_before_the_program_looks_at_it():
-    """Its thread had no turn between the accept and the list; all that is listed was shut, and the program left."""
+def test_a_connection_accepted_while_the_listener_closes_is_listed_before_the_program_checks_the_list():
+    """Its thread did not run between the accept and the listing; all listed connections were shut, and the program ended."""
     client_listener = make_listener()
     real, handed = client_listener.listening_socket, threading.Event()
 
@@ -312,7 +313,7 @@
     assert client_listener.clients and not client_listener.shut_connections(late=False) or client_listener.admission.streams == [1]
 
 
-def test_an_accept_that_fails_as_the_listener_closes_leaves_nobody_in_the_backlog():
+def test_an_accept_that_fails_while_the_listener_closes_leaves_no_client_in_the_backlog():
     client_listener = make_listener()
     clients = [connect_client(client_listener, accept=False) for _ in range(3)]
     for stream, client in enumerate(clients, 1):
@@ -322,8 +323,8 @@
     until(lambda: sorted(client_listener.admission.streams) == [1, 2, 3], limit=3)
 
 
-def test_an_accept_that_fails_for_a_moment_costs_no_client_its_connection():
-    """Found by the soak (seed 122): a request sent to a resting connection in that moment was cut off with it."""
+def test_an_accept_that_fails_for_a_moment_closes_no_client_connection():
+    """Found by the soak (seed 122): a request that was sent over an idle connection at that moment was cut off with the connection."""
     client_listener = make_listener()
     resting = [connect_client(client_listener) for _ in range(3)]
     client_listener.listening_socket = Failing(
@@ -339,22 +340,22 @@
     client_listener.stop_listening()
 
 
-def test_a_client_with_an_open_request_is_answered_whoever_fills_the_memory_for_frames():
+def test_a_client_with_an_open_request_is_answered_even_if_the_frame_memory_is_full():
     client_listener = make_listener()
     client_listener.max_unfinished_bytes = 1000
     there = connect_client(client_listener)
     there.ask(1)
     client = next(iter(client_listener.clients))
     until(lambda: client.client_writer.streams)
-    there.sock.sendall(b"\0\0\x27\x10A\0\0\0\2" + b"x" * 2000)  # the begin of 10 KB
-    assert there.get()[:2] == (66, 0)  # an error that belongs to no request: what it began is not read on
+    there.sock.sendall(b"\0\0\x27\x10A\0\0\0\2" + b"x" * 2000)  # the beginning of a frame of 10 KB
+    assert there.get()[:2] == (66, 0)  # an error that belongs to no request: the frame is not read any further
     client.client_writer.answer(1, Answer("completed", body=b"x"))
     assert there.get()[1:3] == (1, 79) and there.get() is None
     client_listener.stop_listening()
 
 
-def test_a_look_at_a_client_whose_reader_closes_its_socket_meanwhile_ends_nothing():
-    """The threads that look are the sweep, the listener's and the main one: an error in any of them ends the program."""
+def test_a_poll_of_a_client_whose_reader_closes_the_socket_meanwhile_raises_no_error():
+    """The polling threads are the sweep, the listener's and the main thread: an error in any of them ends the program."""
     here, _there = socket.socketpair()
     client = ClientConnection(
         SimpleNamespace(answer_sender=AnswerSender(1 << 20), client_timeout_ms=30_000, connection_freed=lambda client: None), here
@@ -366,7 +367,7 @@
 
 
 def test_an_operators_file_that_can_not_be_opened_for_a_moment_is_read_after_it(run, tmp_path, monkeypatch):
-    """Found by reading: only the node's file was asked for again, so that a start in that moment ended, and a reload was refused."""
+    """Found by code review: only the node's file was retried, so that a start at that moment failed, and a reload was refused."""
     service = run(Cache(), operators={"counts": {"every_s": 7.0}})
     left = [errno.EMFILE, errno.ENFILE, errno.ENOMEM]
 
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -1,4 +1,4 @@
-"""No hop begins to go out on word that is older than the board's: at a start, in queues, in sockets, over a pause."""
+"""No hop is written by a server list older than what discovery has sent: at a start, in queues, in sockets, after a pause."""
 
 import select
 import signal
@@ -28,8 +28,8 @@
 
 
 @pytest.mark.parametrize("wait", [0.0, 0.03, 0.3])
-def test_txns_that_come_before_the_board_has_spoken_never_see_the_list_of_the_file(run, wait):
-    """Found on herd+mass: 43 of 134 restarted routers wrote hops before they had asked the board, 13 to a drained one."""
+def test_txns_before_the_first_discovery_event_never_use_the_list_of_the_file(run, wait):
+    """Found on herd+mass: 43 of 134 restarted routers wrote hops before they had asked discovery, 13 of them to a drained server."""
     drained, other = Cache(), Cache()
     board = Notices(wait)
     board.tell(2, pool={"index": 2, "snapshot": False, "endpoints": [endpoint("c0", drained.address, status="draining")]})
@@ -44,8 +44,8 @@
     assert board.watched == [1]
 
 
-def test_a_start_does_not_wait_for_a_number_after_the_events_that_the_board_held(run):
-    """Seen on herd+mass: after events the bare number comes with the next second, and 46 of 336 starts lay idle for it."""
+def test_a_start_does_not_wait_for_a_bare_number_after_the_past_events(run):
+    """Found on herd+mass: the bare number after the past events comes up to a second later, and 46 of 336 starts waited for it."""
     drained, other = Cache(), Cache()
     board = Notices(numbers=False)
     board.tell(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
@@ -54,8 +54,8 @@
     assert client.get()[2] == 79 and not drained.wants
 
 
-def test_without_a_board_a_start_goes_by_its_file_after_a_stated_wait_and_answers_in_time(run):
-    """Those whose time is too short are turned away at once when their part of the wait is over, not at their limit."""
+def test_without_discovery_a_start_uses_its_file_after_the_configured_wait_and_answers_in_time(run):
+    """Txns with little time are rejected when their share of the wait is over, not at their time limit."""
     cache, board = Cache(), Notices(60)
     service = run(cache, notices=board, operators={"start": {"board_wait_s": 1.0, "most_waiting": 3}})
     client = service.early()
@@ -63,7 +63,7 @@
     client.ask(1, limit="500")
     client.ask(2)
     client.ask(3)
-    client.ask(4)  # more than may wait
+    client.ask(4)  # one more than may wait
     ends = {}
     for _ in range(4):
         kind, stream, code, fields, _ = client.get()
@@ -74,7 +74,7 @@
     assert 'event=open why="no word of the board"' in service.lines()
 
 
-def test_a_txn_withdrawn_at_the_gate_is_forgotten_and_the_router_says_it_is_not_ready(run):
+def test_a_txn_withdrawn_at_the_gate_is_forgotten_and_the_router_reports_not_ready(run):
     cache, board = Cache(), Notices(0.8)
     client = run(cache, notices=board).early()
     client.send(80, 99, b"\0")
@@ -89,15 +89,15 @@
     "now, limit, waiting, until_at",
     [(0, 1000, 0, 400), (0, 10_000, 0, 4000), (900, 100_000, 0, 1000 + 49_500), (0, 1000, 5, 0), (5, 5, 0, 5)],
 )
-def test_the_gate_keeps_a_txn_for_a_part_of_its_time(now, limit, waiting, until_at):
+def test_the_gate_holds_a_txn_for_a_part_of_its_time(now, limit, waiting, until_at):
     assert StartupGate(0, 1000, 5).wait_until(now, limit, waiting) == min(until_at, now + int((limit - now) * 0.4))
 
 
-# Hops that wait in a connection.
+# Hops that wait on a connection.
 
 
 def fill_socket(pool, cache, count=60, **hop_options):
-    """A connection with a hop that was answered, a server that stopped reading, and hops behind that wait."""
+    """Returns a connection to a server that answered one hop and then stopped reading, and the hops that wait on it."""
     first = make_hop(1)
     connection = enqueue_and_write(pool, first)
     until(lambda: pool.host.posted)
@@ -118,14 +118,15 @@
 
 
 @pytest.mark.parametrize("then", ["reads on", "ends"])
-def test_the_next_hop_waits_until_a_server_with_a_full_socket_can_be_told_that_the_one_before_is_given_up(then):
-    """Of the first hop a part is there. One hop outstanding at a time: its rest and its end go out before the next one does."""
+def test_the_next_hop_waits_until_a_server_with_a_full_socket_is_told_of_the_cancel_before_it(then):
+    """The server has got a part of the first hop. Since a txn has one hop outstanding at a time, the rest of that hop and its cancel are
+    written before the next hop."""
     cache, other = Stalled(), Cache(lambda want: None)
     pool = sender(cache.address, c1=other.address)
     connection, hops = fill_socket(pool, cache)
     cut = connection.partial_hop
     assert connection.unwritten and cut.written_at
-    free = next(hop for hop in hops if not hop.written_at)  # never went out: nobody need be told
+    free = next(hop for hop in hops if not hop.written_at)  # not written: the server need not be told
     for hop in (cut, free):
         assert pool.give_up(hop, clock())
     connection.write_queued()
@@ -143,8 +144,8 @@
         assert cut.name in [want["id"] for want in cache.wants]
 
 
-def test_a_server_that_has_reset_its_connection_and_can_t_be_told_holds_up_nothing(monkeypatch):
-    """Found on roll+brink and split+brink: the word met the reset before the connection's reader did, and the next hop waited for ever."""
+def test_a_cancel_that_meets_a_reset_connection_does_not_hold_up_the_next_hop(monkeypatch):
+    """Found on roll+brink and split+brink: the cancel met the reset before the reading thread did, and the next hop waited forever."""
     held, cache, other = readers_held(monkeypatch), Cache(lambda want: None), Cache(lambda want: None)
     pool = sender(cache.address, c1=other.address)
     hop = make_hop(1)
@@ -160,8 +161,9 @@
     assert not pool.undelivered_cancels and not pool.waiting_for_cancel
 
 
-def test_a_server_that_takes_nothing_more_is_told_at_once_where_the_system_has_room():
-    """Beyond what is kept back in the router so that it may be taken back, the system holds some more: for words of three lines."""
+def test_a_server_that_accepts_nothing_more_gets_a_cancel_at_once_if_the_system_has_space():
+    """The system accepts some more than the router writes to it, and cancels may use that: the router holds messages back so that they can
+    still be taken back."""
     cache, other = Stalled(), Cache(lambda want: None)
     pool = sender(cache.address, c1=other.address)
     first = make_hop(1)
@@ -196,8 +198,8 @@
 
 
 @pytest.mark.parametrize("change", CHANGES)
-def test_what_waits_for_a_server_that_does_not_read_is_taken_back_once_it_may_not_go_out(change):
-    """The server reads on later: it gets what had begun, whole, and nothing else; the rest never ran."""
+def test_hops_waiting_for_a_server_that_does_not_read_are_taken_back_once_they_may_not_be_written(change):
+    """When the server reads on, it gets the messages that had begun, complete, and nothing else; the other hops never ran."""
     cache = Stalled()
     pool = sender(cache.address)
     pool.update_endpoint("p0", ("127.0.0.1", 1), "up")
@@ -208,7 +210,7 @@
     pool.refuse_stale_hops()
     ends = {about[0]: about[1] for about in pool.host.posted[1:]}
     assert ends == {hop: "unsent" for hop in hops if hop not in begun}
-    late = make_hop(900, source="p0")  # decided before the change, put in after it
+    late = make_hop(900, source="p0")  # decided before the change, queued after it
     pool.enqueue(late)
     cache.go_on.set()
     until(lambda: len(cache.wants) >= 1 + len(begun))
@@ -220,7 +222,7 @@
     assert not late.written_at and (late, "unsent") in [about[:2] for about in pool.host.posted]
 
 
-def test_a_purge_does_not_take_back_what_was_decided_with_it_nor_another_group():
+def test_a_purge_takes_back_neither_later_decisions_nor_other_groups():
     cache = Stalled()
     pool = sender(cache.address)
     connection, _ = fill_socket(pool, cache, count=30)
@@ -233,7 +235,7 @@
     assert knows.written_at and other.written_at
 
 
-def test_what_is_given_up_before_a_byte_of_it_went_out_is_never_named_to_the_server():
+def test_a_hop_cancelled_before_its_first_byte_is_never_named_to_the_server():
     cache = Stalled()
     pool = sender(cache.address)
     connection, hops = fill_socket(pool, cache)
@@ -250,8 +252,8 @@
 
 
 @pytest.mark.parametrize("taken", [0, 1, 150, 499, 500, 501, 999, 1000, 1499])
-def test_a_joined_write_that_is_cut_puts_back_every_message_that_has_not_begun(taken, monkeypatch):
-    """Three messages in one write, the socket takes so many bytes of it."""
+def test_a_partial_write_requeues_every_message_that_has_not_begun(taken, monkeypatch):
+    """Three messages are written at once, and the socket accepts `taken` bytes."""
     quiet = Listener()
     pool = sender(quiet.address)
     connection = enqueue_and_write(pool, make_hop(1))
@@ -260,9 +262,9 @@
     for hop in hops:
         hop.want.body = b"x" * (500 - sum(map(len, resp.encode_want(hop.want))))
     sizes = [sum(map(len, resp.encode_want(hop.want))) for hop in hops]
-    takes = iter([taken])  # and nothing of what is left
+    takes = iter([taken])  # and nothing of the rest
     monkeypatch.setattr("fieldspur.net.server_connection.write_nonblocking", lambda sock, data: [b"".join(data)[next(takes, 0) :]])
-    connection.rest_writer_active = True  # nobody else pumps
+    connection.rest_writer_active = True  # no other thread writes
     for hop in hops:
         pool.enqueue(hop)
     left, cut, full = connection.write_batch()
@@ -273,9 +275,9 @@
     assert sum(map(len, left)) == sum(sizes[:begun]) - taken and cut is (hops[whole] if begun > whole else None)
 
 
-def test_a_large_write_that_has_begun_goes_out_whole_past_the_mark_that_keeps_others_here():
-    """Found with writes of 47 KB to servers with small windows: in pieces of the mark, each with a waking of a thread
-    made for it, they cost 0.54 of a core where 0.34 had done, and p50 rose from 0.3 to 0.9 s. Others wait as before."""
+def test_a_large_write_that_has_begun_goes_out_whole_beyond_the_unsent_limit():
+    """Found with writes of 47 KB to servers with small windows: written in pieces of UNSENT_LIMIT, each of which wakes a thread, they took
+    0.54 of a core instead of 0.34, and p50 rose from 0.3 to 0.9 s. Messages that have not begun wait as before."""
     cache = Stalled()
     pool = sender(cache.address)
     connection = enqueue_and_write(pool, make_hop(1))
@@ -296,8 +298,8 @@
     assert [w["id"] for w in cache.wants] == ["%016x" % 1, large.name]
 
 
-def test_a_drain_while_the_connection_comes_up_gives_the_hop_back_at_once():
-    """Its server takes no connection yet; the hop has not begun and goes elsewhere now, not when that ends."""
+def test_a_drain_during_the_connect_gives_the_hop_back_at_once():
+    """The server accepts no connection yet. The hop has not begun and can go elsewhere now, not only when the connect fails."""
     full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     pending_sockets = [socket.socket() for _ in range(4)]
     for sock in pending_sockets:
@@ -317,7 +319,7 @@
         sock.close()
 
 
-# The Router's queue, and a process held up.
+# The Router's queue, and a stopped process.
 
 
 def make_router_host(cache):
@@ -333,14 +335,14 @@
 
 
 @pytest.mark.parametrize("what", ["list", "purge"])
-def test_word_of_the_board_binds_writes_at_once_however_many_events_wait_ahead_of_it(what):
+def test_a_discovery_event_restricts_writes_at_once_however_many_events_are_queued(what):
     from fieldspur.net.discovery import Purge
 
     cache = Cache(lambda w: None)
     pool, router_host = make_router_host(cache)
     connection = enqueue_and_write(pool, make_hop(1))
     until(lambda: cache.wants)
-    with router_host.lock:  # the Router is at something
+    with router_host.lock:  # the Router is busy
         for _ in range(MAX_QUEUED - 12):
             router_host.post(lambda: None)
         waiting = make_hop(2)
@@ -352,11 +354,11 @@
         connection.write_queued()
         assert not waiting.written_at and waiting.ended
         order = [getattr(event[0], "__name__", "") for event in router_host.queue]
-        assert order[-2:] == ["apply_list" if what == "list" else "apply_purge", "hop_ended"]  # it decides anew after it
+        assert order[-2:] == ["apply_list" if what == "list" else "apply_purge", "hop_ended"]  # the Router decides again after the event
 
 
-def test_a_write_waits_for_word_of_the_board_that_lies_unread():
-    """As in a process that was stopped, or whose other threads had the core: the board's thread has not come to it."""
+def test_a_write_waits_for_an_unread_discovery_event():
+    """As in a process that was stopped or had no CPU: the discovery thread has not read the event yet."""
     cache, notices = Cache(lambda w: None), Notices()
     pool, router_host = make_router_host(cache)
     host, port = notices.address.split(":")
@@ -364,7 +366,7 @@
     board.last_number = 1
     threading.Thread(target=board.run, daemon=True).start()
     until(board.caught_up.is_set)
-    with board.read_lock:  # held up, with the word in its socket
+    with board.read_lock:  # the discovery thread can't read, with the event in its socket
         notices.tell(2, pool={"endpoints": [endpoint("c0", cache.address, status="draining")]})
         until(lambda: notices.sent)
         time.sleep(0.06)
@@ -378,7 +380,7 @@
     assert not hop.written_at and not cache.wants
 
 
-def test_a_board_that_says_nothing_holds_up_one_write_for_a_moment_and_then_none():
+def test_a_silent_discovery_service_delays_one_write_for_a_moment_and_then_none():
     cache = Cache(lambda w: None)
     pool, router_host = make_router_host(cache)
     board = pool.discovery = DiscoveryClient(("127.0.0.1", 1), router_host, 1)
@@ -394,8 +396,8 @@
 
 
 @pytest.mark.parametrize("pause", [0.4, 2.5])
-def test_a_process_stopped_between_the_board_s_word_and_its_writes_keeps_the_drain(run, pause):
-    """Txns come while it is stopped; continued, it reads them and the drain in any order it likes."""
+def test_a_process_stopped_between_a_drain_and_its_writes_obeys_the_drain(run, pause):
+    """Requests arrive while it is stopped. When it continues, it may read them and the drain in any order."""
     drained, other = Cache(), Cache()
     service = run(drained, other)
     clients = [service.client() for _ in range(6)]
@@ -414,13 +416,13 @@
     service.process.send_signal(signal.SIGCONT)
     for client in clients:
         assert {client.get()[2] for _ in range(10)} == {79}
-    late = other.wants[-60:]
-    assert len(drained.wants) == before and all("within" in w for w in late)
+    last_wants = other.wants[-60:]
+    assert len(drained.wants) == before and all("within" in want for want in last_wants)
 
 
-def test_what_one_read_of_the_board_brings_is_told_whole_before_its_thread_writes_by_half_of_it():
-    """Found by the test above on a busy machine: between a drain and a purge of one read the board's own thread took a
-    turn in the Router and wrote hops that knew of the drain alone."""
+def test_all_events_of_one_discovery_read_are_applied_before_that_thread_writes():
+    """Found by the test above on a busy machine: after the first of two events of one read, a drain and a purge, the discovery thread ran
+    the Router and wrote hops that took account of the drain only."""
     cache, notices = Cache(lambda w: None), Notices()
     pool, router_host = make_router_host(cache)
     host, port = notices.address.split(":")
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The ordinary path: hand-offs, half writes, one caller in the Router, and the guard that keeps it cheap."""
+"""The path of an ordinary request: timers, buffers, partial writes, one caller in the Router, and the guard that keeps the path cheap."""
 
 import dataclasses
 import random
@@ -36,12 +36,12 @@
 ROOT = Path(__file__).parents[1]
 
 
-# Parts.
+# Single parts.
 
 
 @tries(deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.sampled_from("aacd"), st.integers(0, 40 << SLOT_SHIFT)), max_size=60))
-def test_a_wheel_gives_what_a_sorted_list_gives(steps):
+def test_a_timer_wheel_returns_the_same_timers_as_a_sorted_list(steps):
     wheel, plain, now_at = TimerWheel(), {}, 0
     for n, (what, value) in enumerate(steps):
         if what == "a":
@@ -61,8 +61,8 @@
 
 @tries(deadline=None, derandomize=True)
 @given(st.booleans(), st.lists(st.integers(1, 9000), min_size=1, max_size=12), st.randoms(use_true_random=False))
-def test_a_window_keeps_every_byte_in_order_and_never_reads_into_nothing(eager, sizes, chance):
-    """Messages of a known length pass whatever the reads bring, and a steady state makes no new buffer."""
+def test_a_receive_buffer_keeps_every_byte_in_order_and_always_has_free_space(eager, sizes, chance):
+    """Messages of a known length pass however the reads split them, and in a steady state no new buffer is made."""
     window, sent = ReceiveBuffer(256, eager), b"".join(bytes([n % 251]) * size for n, size in enumerate(sizes))
     at, done = 0, 0
     while done < len(sizes):
@@ -94,7 +94,7 @@
 
 @tries(deadline=None, derandomize=True, max_examples=300)
 @given(st.lists(st.tuples(FIELD, VALUE), max_size=4), st.integers(0, 5), st.booleans(), st.binary(max_size=20), st.integers(-1, 1))
-def test_a_request_read_by_one_match_is_what_field_by_field_makes_of_it(extra, where, ordered, body, off):
+def test_a_request_decoded_by_one_match_equals_the_one_decoded_field_by_field(extra, where, ordered, body, off):
     rows = GOOD[:where] + extra + GOOD[where:] if not ordered else GOOD[:4] + [("slice", "3"), GOOD[4], ("ram", "4.5")]
     payload = (
         bytes([max(0, len(rows) + off * (not ordered))])
@@ -109,7 +109,7 @@
 
 @tries(deadline=None, derandomize=True, max_examples=30)
 @given(st.lists(st.integers(0, 120_000), max_size=4), st.lists(st.integers(1, 70_000), min_size=1, max_size=30))
-def test_long_answers_pass_whole_whatever_the_reads_bring(sizes, reads):
+def test_long_replies_are_decoded_however_the_reads_split_them(sizes, reads):
     bodies = [b"%04d" % n * (size // 4) for n, size in enumerate(sizes)]
     data = b"".join(resp.encode_array(b"%016x" % n, b"ACK", b"entity=e", body) for n, body in enumerate(bodies))
     decoder, found, at = resp.Decoder(), [], 0
@@ -122,13 +122,13 @@
     assert found == [("%016x" % n, body) for n, body in enumerate(bodies)] and not decoder.in_reply()
 
 
-def test_an_array_that_grows_beyond_any_answer_ends_the_reading():
+def test_an_array_that_is_too_long_for_a_reply_is_an_error():
     decoder = resp.Decoder()
     with pytest.raises(resp.BadReply):
         list(decoder.feed(resp.encode_array(b"a" * 200_000, b"b" * 200_000, b"c")))
 
 
-def test_a_write_that_can_not_wait_tells_what_is_left(monkeypatch):
+def test_a_nonblocking_write_returns_the_unwritten_rest(monkeypatch):
     for raw in (nonblocking.libc_send, None):
         monkeypatch.setattr(nonblocking, "libc_send", raw)
         here, there = socket.socketpair()
@@ -136,7 +136,9 @@
         data = b"x" * 1_000_000
         left = nonblocking.write_nonblocking(here, (data,))
         assert 0 < sum(map(len, left)) < len(data)
-        assert nonblocking.write_nonblocking(here, left) == left or sum(map(len, left))  # full: nothing goes, nothing waits
+        assert nonblocking.write_nonblocking(here, left) == left or sum(
+            map(len, left)
+        )  # the socket is full: nothing is written, and the call does not wait
         there.close()
         with pytest.raises(OSError):
             for _ in range(3):
@@ -157,8 +159,8 @@
     return connection
 
 
-def test_a_socket_that_takes_half_a_write_gets_the_rest_and_then_the_hops_behind():
-    """The server reads nothing for a while; hops go on being put, in order, and none is lost or doubled."""
+def test_a_socket_that_accepts_a_part_of_a_write_gets_the_rest_and_then_the_queued_hops():
+    """The server reads nothing for a while. Hops are queued meanwhile; they arrive in order, and none is lost or sent twice."""
     gate, seen = threading.Event(), []
 
     class Slow(Cache):
@@ -181,7 +183,7 @@
     assert seen == [(hop.name, 48_000) for hop in hops] and not connection.rest_writer_active and not pool.host.posted
 
 
-def test_a_connection_that_breaks_under_half_a_write_says_which_hop_never_ran():
+def test_a_connection_that_breaks_during_a_partial_write_reports_which_hop_never_ran():
     quiet = Listener()
     quiet.serve = lambda conn: time.sleep(30)
     pool = sender(quiet.address)
@@ -202,7 +204,7 @@
     assert ends["a" * 16] == "broken" and ends[hop.name] in ("unsent", "broken") and set(ends.values()) <= set(RESULTS)
 
 
-def test_a_server_gone_between_choice_and_write_never_gets_the_hop():
+def test_a_server_removed_between_decision_and_write_never_gets_the_hop():
     cache = Cache(lambda w: None)
     pool = sender(cache.address)
     hop = Hop(1, 0, "a" * 16, "c0", None, make_want("a" * 16), clock())
@@ -215,8 +217,8 @@
     assert [about[:2] for about in pool.host.posted] == [(other, "unsent")] and "b" * 16 not in connection.open_hops
 
 
-def test_an_answer_that_comes_while_its_hop_is_still_being_written_counts_once():
-    """The server answers as soon as it has seen the head of a large write."""
+def test_a_reply_that_arrives_while_its_hop_is_still_being_written_counts_once():
+    """The server replies as soon as it has read the head of a large message."""
     seen = threading.Event()
 
     class Hasty(Listener):
@@ -237,8 +239,8 @@
     assert not pool.give_up(hop, clock())
 
 
-def test_answers_of_one_read_go_out_in_one_write_and_each_to_its_own_client():
-    """Corked answers are owed until they are written: neither a sweep nor an end closes their connection before."""
+def test_replies_of_one_read_go_out_in_one_write_to_each_client():
+    """Corked answers count as undelivered until they are written: neither a sweep nor the program's end closes their connection before."""
     pool = sender(Listener().address)
     connection = enqueue_and_write(pool, Hop(99, 0, "f" * 16, "c0", None, make_want("f" * 16), clock()))
     pairs, client_writers = [socket.socketpair() for _ in range(2)], []
@@ -281,7 +283,7 @@
 
 
 def test_events_of_many_threads_are_handled_once_each_by_one_caller_at_a_time():
-    """100,000 events from 8 threads, some of which post further ones from inside, with the interpreter given up at will."""
+    """100,000 events from 8 threads, some of which post further events while they are handled, with frequent thread switches."""
     router_host, inside, seen, overlaps = make_router_host(), [], [], []
     before, spread = sys.getswitchinterval(), 12_500
     sys.setswitchinterval(1e-6)
@@ -312,7 +314,7 @@
             thread.join(60)
     finally:
         sys.setswitchinterval(before)
-    router_host.process_queue(0)  # what a thread that had worked long enough left to the timers' one
+    router_host.process_queue(0)  # events that a thread has left to the timer thread
     assert not overlaps and not router_host.queue and not holding.violation_counts
     assert len(seen) == 8 * (spread + spread // 10) and len(set(seen)) == len(seen)
     for who in range(8):
@@ -320,7 +322,7 @@
         assert mine == sorted(mine), "events of one thread in another order"
 
 
-def test_a_second_caller_in_the_router_is_noticed(monkeypatch):
+def test_a_second_caller_in_the_router_is_detected(monkeypatch):
     monkeypatch.setattr(threading, "excepthook", lambda args: None)
     router_host = make_router_host()
     router_host.router_thread = 1
@@ -329,9 +331,9 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_interleavings_of_all_that_ends_a_txn_give_each_exactly_one_final_answer(seed):
-    """5,000 txns a seed: an answer, an error, a cut, a withdrawal, a broken connection and the Router's own end fall on each
-    other in a generated order, from several threads."""
+def test_each_txn_gets_exactly_one_final_answer_whatever_ends_it_in_any_order(seed):
+    """5,000 txns for each seed: a reply, an error, a timeout, a withdrawal, a broken connection and the Router's own answer come in a
+    generated order, from several threads."""
     chance, site = random.Random(seed), deployment(settings())
     open_txns, answer_sender = OpenTxns(), AnswerSender(1 << 20)
     pool = ConnectionPool(site, open_txns, answer_sender, 4)
@@ -414,12 +416,12 @@
     finally:
         sys.setswitchinterval(before)
     router_host.process_queue(0)
-    for _ in range(20):  # whatever is still open has its hops ended, tries of their own included
+    for _ in range(20):  # ends the hops of all txns that are still open, and of their next attempts
         for ident in list(open_txns.by_id):
             if hops.get(ident):
                 pool.end_hop(hops[ident][-1], "unreachable")
         router_host.process_queue(0)
-    for ident in list(open_txns.by_id):  # followers whose leader had gone
+    for ident in list(open_txns.by_id):  # waiters whose leader has ended
         router_host.post(router_host.hop_timed_out, ident, hops[ident][-1].number if hops.get(ident) else 0)
     router_host.process_queue(0)
     double = [ident for ident, words in answered.items() if len(words) != 1]
@@ -428,8 +430,9 @@
     assert not double and not both and not none and not open_txns.by_id and answer_sender.all_delivered() and not holding.violation_counts
 
 
-def test_an_error_in_the_router_costs_its_event_alone_whatever_its_kind_and_thread(monkeypatch):
-    """A board's thread takes ValueError for a bad line, a reader's OSError for a broken connection: neither may meet it."""
+def test_an_error_in_the_router_costs_only_its_event_whatever_its_type_and_thread(monkeypatch):
+    """The discovery thread takes a ValueError for a bad line, a reader an OSError for a broken connection:
+    neither may get the Router's error."""
     router_host, told, after = make_router_host(), [], []
     monkeypatch.setattr(threading, "excepthook", lambda args: told.append(args.exc_type))
     before = holding.contained_errors.log_fields().get("contained_event", 0)
@@ -439,12 +442,12 @@
     assert after == [ValueError, OSError, KeyError] and not told
     assert holding.contained_errors.log_fields()["contained_event"] == before + 3
     assert not router_host.lock.locked() and router_host.router_thread is None
-    with pytest.raises(AssertionError):  # what must hold is not contained
+    with pytest.raises(AssertionError):  # a violated invariant is not contained
         router_host.post(lambda: holding.check_invariant(False, "a thing"))
     assert told == [AssertionError] and not router_host.lock.locked()
 
 
-def test_a_txn_given_up_inside_the_call_that_started_it_is_answered_by_that_thread_at_once():
+def test_a_txn_rejected_within_the_call_that_added_it_is_answered_by_that_thread_at_once():
     router_host = make_router_host()
     here, there = socket.socketpair()
     client_writer = ClientWriter(here, encode, router_host.answer_sender)
@@ -456,7 +459,7 @@
     assert there.recv(100)[9] == frames.REJECTED and router_host.answer_sender.all_delivered()
 
 
-def test_an_earlier_timer_wakes_the_timers_thread_and_cancelled_ones_do_not():
+def test_an_earlier_timer_wakes_the_timer_thread_and_cancelled_ones_do_not():
     router_host, told = make_router_host(), []
     router_host.router = SimpleNamespace(woken=lambda label: told.append((label, clock())))
     threading.Thread(target=router_host.run, daemon=True).start()
@@ -473,9 +476,9 @@
     assert router_host.timers.count == 1 and list(router_host.alarms) == [1]
 
 
-# The guard.
+# The guard of the costs.
 
-PLANTS = {
+INJECTED_COSTS = {
     "": "",
     "copies_to_a_quick_client": "from fieldspur.net.client_writer import ClientWriter\nput = ClientWriter.write_or_queue\n"
     "ClientWriter.write_or_queue = lambda self, data: put(self, (b''.join(data),))\n",
@@ -490,11 +493,11 @@
 }
 
 
-@pytest.mark.parametrize("planted", PLANTS)
-def test_the_guard_names_a_copy_a_hand_off_and_an_allocation_and_passes_without(planted):
+@pytest.mark.parametrize("planted", INJECTED_COSTS)
+def test_the_guard_names_an_added_copy_hand_off_and_allocation_and_passes_without_them(planted):
     rule = "media" if planted.startswith("copies") else "pages"
     code = (
-        PLANTS[planted] + "import json, os\nfrom fieldspur.bench import count\nlimits = json.loads(count.LIMITS.read_text())\n"
+        INJECTED_COSTS[planted] + "import json, os\nfrom fieldspur.bench import count\nlimits = json.loads(count.LIMITS.read_text())\n"
         f"print(json.dumps(count.passed(count.counts({rule!r}, 30), limits[{rule!r}])), flush=True)\nos._exit(0)\n"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
@@ -502,7 +505,7 @@
     assert planted in named if planted else named == [], done.stderr
 
 
-def test_the_command_holds_all_limits_and_says_so_by_its_code():
+def test_the_command_exits_with_0_if_all_limits_are_kept():
     done = subprocess.run(
         [sys.executable, "-m", "fieldspur.cli", "bench", "path", "--guard"], capture_output=True, text=True, timeout=60, cwd=ROOT
     )
@@ -514,29 +517,29 @@
 
 
 @pytest.mark.parametrize("calls, named", [((111, 105, 99), []), ((101, 101, 101, 101), ["calls: 101 a txn, 100 allowed"])])
-def test_what_else_runs_on_the_machine_names_no_count_and_a_real_one_is_named_each_time(monkeypatch, tmp_path, calls, named):
+def test_other_load_on_the_machine_names_no_count_and_a_real_excess_is_named_each_time(monkeypatch, tmp_path, calls, named):
     left = list(calls)
     monkeypatch.setattr(count, "counts", lambda rule: {"calls": left.pop(0), "reads": 6})
     (tmp_path / "limits").write_text('{"media": {"calls": 100, "reads": 6}}')
     assert count.guard(("media",), tmp_path / "limits").get("media", []) == named and not left
 
 
-# A start.
+# The cost of a start.
 
 
-def test_a_start_loads_what_it_needs_and_compiles_nothing():
+def test_a_start_loads_only_the_modules_it_needs_and_compiles_nothing():
     assert start.guard() == []
 
 
-def test_the_count_of_a_start_finds_a_file_compiled_and_a_module_too_many(monkeypatch):
-    """Without bytecode, as before `build` made it; and with one of the imports that were taken out."""
+def test_the_count_of_a_start_finds_a_compiled_file_and_an_unneeded_module(monkeypatch):
+    """Without bytecode, as before `build` has compiled it, and with an import that a start does not need."""
     monkeypatch.setattr(start, "command", lambda build: (["-S", "-B", "-O"], False))
     monkeypatch.setattr(start, "COUNTED", start.COUNTED.replace("import fieldspur", "import dataclasses, fieldspur"))
     lines = start.guard()
     assert len(lines) == 2 and "modules" in lines[0] and "compiled" in lines[1]
 
 
-def test_a_start_is_measured_by_the_flags_of_its_own_deploy_file(tmp_path):
+def test_a_start_is_measured_with_the_flags_of_its_own_deploy_file(tmp_path):
     (row,) = start.rounds({"this": start.ROOT}, 1)
     assert 0 < row["cpu_ms"] and 0 < row["ready_ms"] < 20_000
     (tmp_path / "deploy").mkdir()
@@ -548,7 +551,7 @@
 
 
 @given(st.lists(st.integers(), min_size=2, max_size=2), st.booleans())
-def test_records_are_what_dataclasses_make_of_the_same_fields(values, frozen):
+def test_records_behave_like_dataclasses_with_the_same_fields(values, frozen):
     class Fields:
         first: int
         second: int
