--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -355,10 +355,10 @@
         """Weighted rendezvous hashing of caches or parents. All routers get the same ranking, because health does not affect it."""
 
         def score(server: Server) -> float:
-            key_hash = server.name_hash.copy()
-            key_hash.update(key_bytes)
+            digest = server.name_hash.copy()
+            digest.update(key_bytes)
             size = max(server.rating, 0.01) if self.rating_trust else 1.0
-            return math.log((int.from_bytes(key_hash.digest(), "big") + 1) / 2.0**64) / size
+            return math.log((int.from_bytes(digest.digest(), "big") + 1) / 2.0**64) / size
 
         if len(servers) < 2:
             return servers
--- a/fieldspur/net/resp.py
+++ b/fieldspur/net/resp.py
@@ -6,7 +6,7 @@
 
 from fieldspur.net.receive_buffer import ReceiveBuffer
 from fieldspur.record import record
-from fieldspur.site import LOADS, MS
+from fieldspur.site import LOAD_NAMES, MS
 
 # The result of a hop (host.RESULTS) by the status word of its reply.
 RESULT_BY_WORD = {
@@ -129,7 +129,7 @@
     for pair in text.split(";"):
         name, _, value = pair.partition(":")
         try:
-            load[LOADS.get(name, name)] = float(value)
+            load[LOAD_NAMES.get(name, name)] = float(value)
         except ValueError:
             continue  # one unreadable figure does not invalidate the others
     return {name: value for name, value in load.items() if 0 <= value <= MAX_LOAD_VALUE} or None
--- a/fieldspur/record.py
+++ b/fieldspur/record.py
@@ -1,15 +1,15 @@
-"""Plain classes with named fields, for what a router loads at its start.
+"""Plain classes with named fields, for the modules that a router loads at its start.
 
-The standard library's `dataclasses` does the same and more, and pulls in `inspect`, `ast`, `dis` and `tokenize`, and makes
-five functions a class where one is used: together metadata a third of a router's start (`fieldspur bench start`)."""
+The standard library's `dataclasses` does the same and more. It imports `inspect`, `ast`, `dis` and `tokenize`, and generates five
+methods for a class that uses one: together about a third of a router's start time (`fieldspur bench start`)."""
 
 from __future__ import annotations
 
-NOTHING = object()
+NOTHING = object()  # stands for a missing default
 
 
 class Field:
-    """What a class's body says of a field beyond its type: a default, what makes one, words metadata it."""
+    """Default and metadata of a field. `factory` makes a new default for each record."""
 
     __slots__ = ("name", "default", "factory", "metadata")
 
@@ -17,76 +17,79 @@
         self.name, self.default, self.factory, self.metadata = "", default, factory, metadata or {}
 
 
-def default_factory(by) -> Field:
-    """A field whose default is made anew for each record."""
-    return Field(factory=by)
+def default_factory(factory) -> Field:
+    """A field whose default `factory` makes anew for each record."""
+    return Field(factory=factory)
 
 
-def same(self, other) -> bool:
+def records_equal(self, other) -> bool:
     if type(other) is not type(self):
         return NotImplemented
-    return all(getattr(self, f.name) == getattr(other, f.name) for f in self.__fields__)
+    return all(getattr(self, field.name) == getattr(other, field.name) for field in self.__fields__)
 
 
-def text(self) -> str:
-    return f"{type(self).__name__}({', '.join(f'{f.name}={getattr(self, f.name)!r}' for f in self.__fields__)})"
+def record_repr(self) -> str:
+    return f"{type(self).__name__}({', '.join(f'{field.name}={getattr(self, field.name)!r}' for field in self.__fields__)})"
 
 
-def digest(self) -> int:
-    return hash(tuple(getattr(self, f.name) for f in self.__fields__))
+def record_hash(self) -> int:
+    return hash(tuple(getattr(self, field.name) for field in self.__fields__))
 
 
-def refuse(self, name: str, value=None) -> None:
+def reject_change(self, name: str, value=None) -> None:
     raise AttributeError(f"{type(self).__name__}.{name} is not to be changed")
 
 
 def record(frozen: bool = False, eq: bool = True):
-    """A class decorator: slots, `__init__` by position or name in the order of the annotations, a readable `repr`; by
-    `eq` records of equal values are equal; `frozen` ones are not changed once made, and have a hash."""
+    """A class decorator that adds slots, a readable `repr`, and an `__init__` that takes the annotated fields by position or by name.
+
+    `eq`: records with equal values are equal. `frozen`: the fields can't be changed, and records have a hash."""
 
     def make(cls):
-        rows = []
+        fields = []
         for name in cls.__annotations__:
-            row = cls.__dict__.get(name, NOTHING)
-            row = row if isinstance(row, Field) else Field(row)
-            row.name = name
-            rows.append(row)
-        names = [row.name for row in rows]
+            field = cls.__dict__.get(name, NOTHING)
+            field = field if isinstance(field, Field) else Field(field)
+            field.name = name
+            fields.append(field)
+        names = [field.name for field in fields]
         body = {name: value for name, value in cls.__dict__.items() if name not in (*names, "__dict__", "__weakref__")}
-        body |= {"__slots__": tuple(names), "__fields__": tuple(rows), "__repr__": text}
+        body |= {"__slots__": tuple(names), "__fields__": tuple(fields), "__repr__": record_repr}
         if eq:
-            body |= {"__eq__": same, "__hash__": digest if frozen else None}
+            body |= {"__eq__": records_equal, "__hash__": record_hash if frozen else None}
         if frozen:
-            body |= {"__setattr__": refuse, "__delattr__": refuse}
-        made = type(cls.__name__, cls.__bases__, body)
-        known, says, sets = {"_nothing": NOTHING}, [], []
-        for row in rows:
-            value = row.name
-            if row.factory is not None:
-                known[f"_by_{row.name}"] = row.factory
-                says.append(f"{row.name}=_nothing")
-                value = f"_by_{row.name}() if {row.name} is _nothing else {row.name}"
-            elif row.default is not NOTHING:
-                known[f"_is_{row.name}"] = row.default
-                says.append(f"{row.name}=_is_{row.name}")
+            body |= {"__setattr__": reject_change, "__delattr__": reject_change}
+        record_class = type(cls.__name__, cls.__bases__, body)
+        # `__init__` is compiled from source: its globals, the text of its parameters, and its statements.
+        init_globals, parameters, assignments = {"_nothing": NOTHING}, [], []
+        for field in fields:
+            value = field.name
+            if field.factory is not None:
+                init_globals[f"_by_{field.name}"] = field.factory
+                parameters.append(f"{field.name}=_nothing")
+                value = f"_by_{field.name}() if {field.name} is _nothing else {field.name}"
+            elif field.default is not NOTHING:
+                init_globals[f"_is_{field.name}"] = field.default
+                parameters.append(f"{field.name}=_is_{field.name}")
             else:
-                says.append(row.name)
+                parameters.append(field.name)
             if frozen:
-                known[f"_set_{row.name}"] = getattr(made, row.name).__set__
-                sets.append(f"_set_{row.name}(self, {value})")
+                init_globals[f"_set_{field.name}"] = getattr(record_class, field.name).__set__
+                assignments.append(f"_set_{field.name}(self, {value})")
             else:
-                sets.append(f"self.{row.name} = {value}")
-        exec(f"def __init__(self, {', '.join(says)}):\n    " + "\n    ".join(sets), known)
-        made.__init__ = known["__init__"]
-        return made
+                assignments.append(f"self.{field.name} = {value}")
+        exec(f"def __init__(self, {', '.join(parameters)}):\n    " + "\n    ".join(assignments), init_globals)
+        record_class.__init__ = init_globals["__init__"]
+        return record_class
 
     return make
 
 
 def is_record(value) -> bool:
+    """Whether the value is a record or a record class."""
     return hasattr(value, "__fields__")
 
 
-def replace(value, **changed):
-    """A record like this one, but for what is named."""
-    return type(value)(**{f.name: getattr(value, f.name) for f in value.__fields__} | changed)
+def replace(value, **changes):
+    """A copy of a record with some fields changed."""
+    return type(value)(**{field.name: getattr(value, field.name) for field in value.__fields__} | changes)
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults; builds the Router from it.
+"""Reads a router's configuration, checks it, fills in defaults, and builds the Router from it.
 
-`Deployment` is what the `settings` object says and is alike for all routers of a location; `Node` is what one router
-of the service is told. A value that does not do raises ConfigError, whose text begins with the path of the key.
+`Deployment` has the values of the `settings` object, which are the same for all routers of a location. `Node` has the values of one
+router. An invalid value raises ConfigError, whose text begins with the path of the key.
 """
 
 from __future__ import annotations
@@ -13,18 +13,20 @@
 from fieldspur.host import Host, RemapRule
 from fieldspur.record import record
 
-US, MS = 1000, 1_000_000  # configuration counts microseconds and milliseconds, the project nanoseconds
-KINDS = {"idempotent": "repeatable", "deduplicated": "keyed", "at_most_once": "unrepeatable"}
-LOADS = {"active": "inflight", "cpu": "util", "x0": "hits", "x1": "fetching"}  # columns of load reports
-NEEDED = object()
+# Nanoseconds, which the program counts, in the units of the configuration.
+US = 1000
+MS = 1_000_000
+RULE_KINDS = {"idempotent": "repeatable", "deduplicated": "keyed", "at_most_once": "unrepeatable"}
+LOAD_NAMES = {"active": "inflight", "cpu": "util", "x0": "hits", "x1": "fetching"}  # by column of a load report
+REQUIRED = object()  # the default of a key that has none
 
 
 class ConfigError(Exception):
-    """Configuration that can't be used; the text names the faulty key."""
+    """Configuration that can't be used. The text names the faulty key."""
 
 
 class UnreadableConfig(ConfigError):
-    """The file could not be opened or read; `errno` is the system's."""
+    """The file could not be opened or read. `errno` is the system's error number."""
 
     def __init__(self, text: str, errno: int | None):
         super().__init__(text)
@@ -32,7 +34,7 @@
 
 
 class Section:
-    """One object of the configuration and its path."""
+    """One object of the configuration, with its path, which error texts name."""
 
     def __init__(self, value, path: str = ""):
         self.value, self.path = value, path
@@ -42,152 +44,153 @@
     def path_of(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
-    def raw(self, key: str, kinds, what: str, default=NEEDED):
+    def typed_value(self, key: str, types, description: str, default=REQUIRED):
+        """The value of a key, or `default`. `description`: what the value has to be, for the error text."""
         value = self.value.get(key)
         if value is None:
-            if default is NEEDED:
+            if default is REQUIRED:
                 raise ConfigError(f"{self.path_of(key)}: missing")
             return default
-        if not isinstance(value, kinds) or (isinstance(value, bool) and kinds is not bool):
-            raise ConfigError(f"{self.path_of(key)}: not {what}")
+        if not isinstance(value, types) or (isinstance(value, bool) and types is not bool):
+            raise ConfigError(f"{self.path_of(key)}: not {description}")
         return value
 
     def section(self, key: str) -> Section:
-        return Section(self.raw(key, dict, "an object"), self.path_of(key))
+        return Section(self.typed_value(key, dict, "an object"), self.path_of(key))
 
     def sections(self, key: str) -> list[Section]:
-        return [Section(row, f"{self.path_of(key)}[{n}]") for n, row in enumerate(self.raw(key, list, "a list"))]
+        return [Section(row, f"{self.path_of(key)}[{index}]") for index, row in enumerate(self.typed_value(key, list, "a list"))]
 
-    def number(self, key: str, default=NEEDED, minimum: float = 0.0) -> float:
+    def number(self, key: str, default=REQUIRED, minimum: float = 0.0) -> float:
         try:
-            value = float(self.raw(key, (int, float), "a number", default))
+            value = float(self.typed_value(key, (int, float), "a number", default))
         except OverflowError:
             value = math.inf
         if not math.isfinite(value) or value < minimum:
             raise ConfigError(f"{self.path_of(key)}: below {minimum:g}")
         return value
 
-    def integer(self, key: str, default=NEEDED, minimum: int = 0) -> int:
+    def integer(self, key: str, default=REQUIRED, minimum: int = 0) -> int:
         return int(self.number(key, default, minimum))
 
-    def text(self, key: str, default=NEEDED) -> str:
-        return self.raw(key, str, "a text", default)
+    def text(self, key: str, default=REQUIRED) -> str:
+        return self.typed_value(key, str, "a text", default)
 
-    def flag(self, key: str) -> bool:
-        return self.raw(key, bool, "true or false")
+    def boolean(self, key: str) -> bool:
+        return self.typed_value(key, bool, "true or false")
 
-    def row(self, key: str, kinds, what: str, count: int | None = None) -> list:
-        """A list of plain values, one for each rule where `count` says so."""
-        values = self.raw(key, list, "a list")
-        if not all(isinstance(v, kinds) for v in values):
-            raise ConfigError(f"{self.path_of(key)}: not a list of {what}")
+    def typed_list(self, key: str, types, description: str, count: int | None = None) -> list:
+        """A list of plain values. `count`: the number of rules, where the list has one value for each rule."""
+        values = self.typed_value(key, list, "a list")
+        if not all(isinstance(element, types) for element in values):
+            raise ConfigError(f"{self.path_of(key)}: not a list of {description}")
         if count is not None and len(values) != count:
             raise ConfigError(f"{self.path_of(key)}: {len(values)} values for {count} rules")
         return values
 
-    def choice(self, key: str, choices: dict, default=NEEDED):
-        word = self.text(key, default)
-        if word not in choices:
+    def choice(self, key: str, choices: dict, default=REQUIRED):
+        name = self.text(key, default)
+        if name not in choices:
             raise ConfigError(f"{self.path_of(key)}: none of {', '.join(choices)}")
-        return choices[word]
+        return choices[name]
 
 
 @record(frozen=True)
 class Deployment:
-    """What all routers of a location are told alike."""
+    """The settings of all routers of a location. Durations are nanoseconds."""
 
     rules: list[RemapRule]
     rule_names: list[str]
     zones: list[str]
     kinds: list[str]
-    columns: list[str]  # of a load report, in the module's words
-    pool_options: dict  # what the ServerPool is built from
-    router_options: dict  # what the Router is built from, besides its parts
-    gone_everywhere: int  # a purge binds no longer than this
+    columns: list[str]  # of a load report, as the decision module names them
+    pool_options: dict  # arguments of ServerPool
+    router_options: dict  # arguments of Router, besides its parts
+    purge_lifetime: int  # after this time no server has a copy older than a purge
     connect_timeout: int
     idle_timeout: int
-    max_hops_per_connection: int  # on one connection
-    max_open_txns: int  # txns
+    max_hops_per_connection: int
+    max_open_txns: int
 
 
 def deployment(value, path: str = "settings") -> Deployment:
+    """Check the `settings` object, whose keys stay as they are in the file."""
     conf = Section(value, path)
-    info, sure, may = conf.section("familyInfo"), conf.section("guarantees"), conf.section("allowed")
-    rows = conf.sections("classes")
-    never_kept = info.row("neverKept", (bool, int), "flags", len(rows))
-    fresh = info.row("goodForUs", int, "times", len(rows))
-    grace = info.row("olderByUs", int, "times", len(rows))
-    stale = info.row("classStaleWorth", (int, float), "shares", len(rows))
+    info, guarantees, allowed = conf.section("familyInfo"), conf.section("guarantees"), conf.section("allowed")
+    classes = conf.sections("classes")
+    uncacheable = info.typed_list("neverKept", (bool, int), "flags", len(classes))
+    fresh_times = info.typed_list("goodForUs", int, "times", len(classes))
+    grace_times = info.typed_list("olderByUs", int, "times", len(classes))
+    stale_shares = info.typed_list("classStaleWorth", (int, float), "shares", len(classes))
     rules = [
         RemapRule(
-            row.choice("repeat", KINDS),
-            row.choice("dedupScope", {g: g for g in ("all", "zone", "cell")}, "all"),
-            row.integer("memorySpanUs", 0) * US,
-            row.number("worth"),
-            row.number("lateWorth", 0.0),
-            row.integer("aimUs") * US,
-            row.number("aimStretch", 0.0),
-            row.integer("hardLimitUs") * US,
-            bool(never_kept[at]),
-            fresh[at] * US,
-            grace[at] * US,
-            float(stale[at]),
+            rule_class.choice("repeat", RULE_KINDS),
+            rule_class.choice("dedupScope", {scope: scope for scope in ("all", "zone", "cell")}, "all"),
+            rule_class.integer("memorySpanUs", 0) * US,
+            rule_class.number("worth"),
+            rule_class.number("lateWorth", 0.0),
+            rule_class.integer("aimUs") * US,
+            rule_class.number("aimStretch", 0.0),
+            rule_class.integer("hardLimitUs") * US,
+            bool(uncacheable[index]),
+            fresh_times[index] * US,
+            grace_times[index] * US,
+            float(stale_shares[index]),
         )
-        for at, row in enumerate(rows)
+        for index, rule_class in enumerate(classes)
     ]
-    zone, by_zone = conf.integer("zone"), info.row("countByZone", int, "counts")
-    pipes = info.row("pipeKbPerS", (int, float), "paces")
-    if zone >= min(len(by_zone), len(pipes)):
+    zone, routers_by_zone = conf.integer("zone"), info.typed_list("countByZone", int, "counts")
+    link_rates = info.typed_list("pipeKbPerS", (int, float), "paces")
+    if zone >= min(len(routers_by_zone), len(link_rates)):
         raise ConfigError(f"{conf.path_of('zone')}: not within familyInfo.countByZone and pipeKbPerS")
-    pace = info.number("clientKbPerS")
+    client_rate = info.number("clientKbPerS")
     pool_options = dict(
         zone=zone,
         parent_kind=info.integer("upperKind", minimum=-1),
         origin_kind=info.integer("rootKind"),
         rating_quality=conf.text("weights"),
-        cache_share=1 / max(1, by_zone[zone]),
+        cache_share=1 / max(1, routers_by_zone[zone]),
         parent_share=1 / max(1, conf.integer("replicasOfMe")),
-        cache_slow_start=(sure.number("coldFrom"), sure.integer("rampTimeUs") * US, sure.number("fallMultiple")),
+        cache_slow_start=(guarantees.number("coldFrom"), guarantees.integer("rampTimeUs") * US, guarantees.number("fallMultiple")),
         parent_slow_start=(info.number("upperColdFrom"), info.integer("parentRampUs") * US, info.number("upperFallMultiple")),
-        budget_window=sure.integer("overloadForUs", minimum=1) * US,
-        link_capacity=pipes[zone] / max(1.0, pace),
+        budget_window=guarantees.integer("overloadForUs", minimum=1) * US,
+        link_capacity=link_rates[zone] / max(1.0, client_rate),
         siblings=info.text("siblings") != "none",
     )
     router_options = dict(
-        kb_per_s=pace,
-        hop_limit=may.integer("sendCap"),
-        join_fills=info.flag("mergesFills"),
-        probes=may.flag("probes"),
-        may_cancel=may.flag("cancel"),
-        max_retry_after=may.integer("maxRetryAfterUs") * US if may.flag("retryAfter") else 0,
+        kb_per_s=client_rate,
+        hop_limit=allowed.integer("sendCap"),
+        join_fills=info.boolean("mergesFills"),
+        probes=allowed.boolean("probes"),
+        may_cancel=allowed.boolean("cancel"),
+        max_retry_after=allowed.integer("maxRetryAfterUs") * US if allowed.boolean("retryAfter") else 0,
         without_notes=info.choice("says", {"all": False, "hit": False, "none": True}, "all"),
         watch_only=conf.choice("shape", {"as-told": False, "watch": True}, "as-told"),
     )
     return Deployment(
         rules,
-        [row.text("name", "") for row in rows],
-        conf.row("areas", str, "names"),
-        conf.row("kinds", str, "names"),
-        [LOADS.get(word, word) for word in conf.section("report").row("columns", str, "names")],
+        [rule_class.text("name", "") for rule_class in classes],
+        conf.typed_list("areas", str, "names"),
+        conf.typed_list("kinds", str, "names"),
+        [LOAD_NAMES.get(column, column) for column in conf.section("report").typed_list("columns", str, "names")],
         pool_options,
         router_options,
         info.integer("goneEverywhereUs") * US,
-        may.integer("connectTimeoutUs", 400_000) * US,
-        may.integer("idleCloseUs", 30_000_000) * US,
-        max(1, may.integer("maxStreams", 100)),
-        max(1, may.integer("maxOpen", 20_000)),
+        allowed.integer("connectTimeoutUs", 400_000) * US,
+        allowed.integer("idleCloseUs", 30_000_000) * US,
+        max(1, allowed.integer("maxStreams", 100)),
+        max(1, allowed.integer("maxOpen", 20_000)),
     )
 
 
 def build_router(host: Host, seed: int, site: Deployment) -> Router:
-    return Router(
-        host, seed, site.rules, ServerPool(**site.pool_options), Purges(site.gone_everywhere), Collapsing(), **site.router_options
-    )
+    """A Router with a pool of its own, which acts through `host`."""
+    return Router(host, seed, site.rules, ServerPool(**site.pool_options), Purges(site.purge_lifetime), Collapsing(), **site.router_options)
 
 
 @record(frozen=True)
 class Node:
-    """What one router of the service is told."""
+    """The configuration of one router. Some field names are logged as keys that a reload does not change."""
 
     name: str
     listen: tuple[str, int]
@@ -195,13 +198,14 @@
     seed: int
     sockets: int
     memory: int  # bytes
-    known_revision: int  # number of the last event in `known`
-    known_events: list  # the notice board's events up to the start, as they stand in the file
+    known_revision: int  # number of the last event in `known_events`
+    known_events: list  # discovery's events up to the start, as they are in the file
     debug: bool  # log each hop
     site: Deployment
 
 
 def parse_address(text: str, path: str) -> tuple[str, int]:
+    """Host and port of "HOST:PORT". `path`: the key, for the error text."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or len(port) > 5 or not 0 < int(port) < 65536:
         raise ConfigError(f"{path}: not an address with a port")
@@ -209,20 +213,20 @@
 
 
 def differences(old: Node, new: Node) -> list[str]:
-    """What another file says that a running router does not take over; `board` and `known` it does."""
+    """Keys of changed values that a running router does not apply. It applies a changed discovery address and `known_events`."""
     return [key for key in ("name", "listen", "seed", "sockets", "memory", "site") if getattr(old, key) != getattr(new, key)]
 
 
 def read_node(environ) -> Node:
-    """The node's configuration from LB_CONFIG's file; LB_NAME and LB_LISTEN go before what it says."""
-    where = environ.get("LB_CONFIG")
-    if not where:
+    """The configuration in the file that LB_CONFIG names. LB_NAME and LB_LISTEN override its values."""
+    config_path = environ.get("LB_CONFIG")
+    if not config_path:
         raise ConfigError("LB_CONFIG: missing")
     try:
-        with open(where, "rb") as file:
+        with open(config_path, "rb") as file:
             conf = Section(json.load(file))
-    except OSError as wrong:
-        raise UnreadableConfig(f"LB_CONFIG: {wrong.strerror}", wrong.errno) from None
+    except OSError as error:
+        raise UnreadableConfig(f"LB_CONFIG: {error.strerror}", error.errno) from None
     except (ValueError, RecursionError):
         raise ConfigError("LB_CONFIG: the file is not JSON") from None
     name = environ.get("LB_NAME") or conf.text("name")
@@ -240,7 +244,7 @@
         limits.integer("sockets", minimum=24),
         limits.integer("memory_mb", minimum=16) << 20,
         known.integer("rev"),
-        known.raw("notices", list, "a list"),
+        known.typed_value("notices", list, "a list"),
         environ.get("LB_LOG") == "debug",
-        deployment(conf.raw("settings", dict, "an object")),
+        deployment(conf.typed_value("settings", dict, "an object")),
     )
