--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -32,9 +32,10 @@
         )
         self.retry_after_ms = site.router_options["max_retry_after"] // MS
         self.refusals = ReasonCounter(Refusal)  # requests that were rejected here, by reason
-        self.latest_deadline = NEVER  # caps the deadline of every txn; an ending program is killed shortly after it
+        self.latest_deadline = NEVER  # caps the deadline of every txn, because an ending program is killed shortly after this time
         self.time_limits = [rule.limit for rule in site.rules]
-        self.rules = {name: (index, site.rules[index].kind == "keyed") for index, name in enumerate(site.rule_names)}  # index, is keyed
+        # By rule name: the rule's index, and whether the rule is keyed.
+        self.rules = {name: (index, site.rules[index].kind == "keyed") for index, name in enumerate(site.rule_names)}
 
     def handle_request(self, request: Request | UnusableRequest, client_writer: ClientWriter, received_at: int) -> bool:
         """Ensures that the request gets exactly one answer on its stream, unless it is withdrawn. Returns whether it was usable."""
@@ -73,7 +74,7 @@
             request.tag,
             request.body,
             received_at,
-            # A Router that lags by `behind` would answer late by as much, so the lag shortens the time limit.
+            # A Router that lags by `recent_lag` would answer late by as much, so the lag shortens the time limit.
             min(received_at + time_limit - PROTOCOL_SLACK // 2 - self.router_host.recent_lag, self.latest_deadline),
             client_writer,
             request.stream,
--- a/fieldspur/net/client_listener.py
+++ b/fieldspur/net/client_listener.py
@@ -21,7 +21,7 @@
 from fieldspur.site import MS
 
 log = logging.getLogger("fieldspur.takein")
-MAX_OPEN_STREAMS = 32  # open txns on one connection
+MAX_OPEN_STREAMS = 32  # maximum number of open txns on one connection
 MAX_STREAMS_AHEAD = 4096  # stream numbers that a connection has used while a smaller one is still unused
 MAX_DISCARDED_BYTES = 1 << 20  # how much is read and discarded from a connection that gets no further answers
 MAX_READS_BEFORE_HANDOVER = 4  # further reads, while more bytes are in the socket, before admitted txns are handed to the Router
@@ -251,8 +251,9 @@
     ):
         self.admission, self.open_txns, self.router_host, self.answer_sender = admission, open_txns, router_host, answer_sender
         self.max_clients, self.client_timeout_ms = max_clients, client_timeout // MS
-        self.max_unfinished_bytes, self.unfinished_bytes = max_unfinished_bytes, 0  # of unfinished frames, of all connections
-        self.ready = self.end_began = False  # end_began: the program has begun to end
+        # Bytes of unfinished frames, summed over all connections.
+        self.max_unfinished_bytes, self.unfinished_bytes = max_unfinished_bytes, 0
+        self.ready = self.end_began = False  # end_began: the program has begun to shut down
         self.spare_descriptors = max(2, max_clients // 16)
         self.clients: set[ClientConnection] = set()
         self.close_reasons = ReasonCounter(CloseReason)  # connections that this side closed
@@ -260,7 +261,7 @@
         self.descriptor_freed = threading.Condition(self.lock)
         self.listening_socket = listen_at(address)
         self.accepting = AcceptFailures()
-        self.accept_thread: threading.Thread | None = None  # the thread in `run`
+        self.accept_thread: threading.Thread | None = None  # the thread that executes `run`
         self.closing = self.closed = False  # closing: no new connections are wanted; closed: the accept thread is to end
 
     def run(self) -> None:
@@ -419,7 +420,7 @@
         except OSError:
             pass
         if self.accept_thread is not None:
-            self.accept_thread.join(BACKLOG_WAIT_S)  # it may have accepted a connection that is not in `clients` yet
+            self.accept_thread.join(BACKLOG_WAIT_S)  # the thread may have accepted a connection that is not in `clients` yet
         self.listening_socket.close()
 
     def accept_backlog(self, until: float) -> None:
--- a/fieldspur/net/client_writer.py
+++ b/fieldspur/net/client_writer.py
@@ -54,13 +54,13 @@
         self.on_descriptor_freed = None  # called without the lock after the socket was closed
         self.idle_since = time.monotonic()
         self.waiting_hops: list = []  # hops that wait until the reader has processed the bytes in the socket
-        self.late_answers: list[LateAnswer] = []  # answers that wait for the same, as their time limit has passed
+        self.late_answers: list[LateAnswer] = []  # answers past their time limit that wait until the reader has processed these bytes
         self.client_sent_bytes = 0  # bytes that the client had sent at the last check that found unread bytes
         # Whether the reader has to call `release_waiting`. It is set before each check of the socket, so that the reader sees it
         # when it processes the bytes that the check finds.
         self.release_needed = False
         self.processed_bytes = 0  # bytes that the reader has processed
-        self.poller = receive_poll(sock)  # only for `check_socket`, under the lock
+        self.poller = receive_poll(sock)  # used only by `check_socket`, whose callers hold the lock
 
     def check_socket(self, include_read: bool = False) -> str:
         """Checks the socket for what the reader may not have processed; the caller holds the lock.
@@ -268,8 +268,9 @@
 
     def __init__(self, max_held_bytes: int):
         self.lock = threading.Lock()
+        # held_bytes: size of the answers that wait in this process; memory_refusals: answers aborted because this memory was full.
         self.held_bytes, self.max_held_bytes, self.memory_refusals = 0, max_held_bytes, 0
-        self.last_tick, self.check_clients_until = NEVER, 0  # until `check_clients_until` answers check the client's socket first
+        self.last_tick, self.check_clients_until = NEVER, 0  # until then, answers check the client's socket first
         self.stall_start = 0  # the last tick before the latest stall
         # Answers that are not handed to their connection yet, by (txn, hop); only one thread uses a key. Each is added before
         # its txn is removed from the open txns, and discarded once the answer was handed over.
--- a/fieldspur/net/frames.py
+++ b/fieldspur/net/frames.py
@@ -24,11 +24,11 @@
 
 MIN_FRAME_LENGTH = 5  # smallest value of a frame's length field: type and stream alone
 MAX_FRAME_LENGTH = 262_144
-MAX_BODY_BYTES = 48_000  # of a request
+MAX_BODY_BYTES = 48_000  # of a request; answers are not limited here
 MAX_LIMIT_MS = 2**31
 MAX_PART = 2**32
 MAX_GROUP = 255
-FRAME_HEAD = struct.Struct(">IBI")  # length of what follows, type, stream
+FRAME_HEAD = struct.Struct(">IBI")  # length of the rest of the frame, type, stream
 HEX_ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
 DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?")
 TEXT_PATTERN = re.compile(r"[\x21-\x2b\x2d-\x7e]{1,200}")  # no comma: the value is passed on to servers in a comma-separated list
@@ -49,7 +49,7 @@
     stream: int
     rule: str
     txn: str
-    limit: int  # ns
+    limit: int  # time limit in ns
     key: str | None  # idempotency key
     obj: str  # id of the object
     part: int  # number of the object's part
@@ -138,7 +138,7 @@
         return UnusableRequest(stream, str(error))
 
 
-INITIAL_BUFFER_BYTES = 4096  # of each connection
+INITIAL_BUFFER_BYTES = 4096  # first size of each connection's receive buffer
 
 
 # Matches the fields in the order in which the protocol lists them, which is how nearly all clients send them. A value has
@@ -241,7 +241,7 @@
     return (head + body,) if len(body) <= MAX_JOINED_BODY_BYTES else (head, body)
 
 
-ANSWER_HEAD_WITHOUT_FIELDS = struct.Struct(">IBIBB")  # of an answer: length, type, stream, result code, number of fields
+ANSWER_HEAD_WITHOUT_FIELDS = struct.Struct(">IBIBB")  # length, type, stream, result code, number of fields (0)
 
 
 def encode_answer(stream: int, outcome: str, retry_after_ms: int = 0, unchanged: bool = False, body=b"") -> tuple:
--- a/fieldspur/net/open_txns.py
+++ b/fieldspur/net/open_txns.py
@@ -50,7 +50,7 @@
         self.by_id: dict[int, Txn] = {}
         self.txn_numbers = itertools.count(1)
         self.lock = threading.Lock()
-        self.recent_names: set[str] = set()  # clients' ids of txns; a client may use each id only once
+        self.recent_names: set[str] = set()  # ids that clients gave to recent txns; each id may be used only once
         self.older_names: set[str] = set()  # the full set before `recent_names`; dropping a whole set is cheaper than evicting ids singly
         self.body_bytes = 0  # total size of the bodies of open txns
         self.counts = dict.fromkeys(("taken", "completed", "rejected", "aborted", "withdrawn", "unusable", "full", "late", "held_back"), 0)
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -14,7 +14,7 @@
 from fieldspur.net.logs import MAX_LINES_PER_SECOND, KeyValueFormatter, RateLimitFilter, format_value
 from fieldspur.site import ConfigError, deployment, read_node
 
-HEXES = st.text("0123456789abcdef", min_size=16, max_size=16)
+HEX_IDS = st.text("0123456789abcdef", min_size=16, max_size=16)
 FIELDS = {
     "verb": "media",
     "txn": "9b1f03aa5c7e2d41",
@@ -26,14 +26,15 @@
 }
 
 
-def cut(data, cut_points):
+def split_at(data, cut_points):
+    """Splits `data` at these points, each taken modulo its length."""
     offsets = sorted(cut_point % (len(data) + 1) for cut_point in cut_points)
     return [data[start:end] for start, end in zip([0, *offsets], [*offsets, len(data)])]
 
 
 @tries(deadline=None, derandomize=True)
-@given(st.lists(st.tuples(HEXES, st.integers(0, 9), st.binary(max_size=300)), max_size=5), st.lists(st.integers(0, 5000), max_size=8))
-def test_requests_are_decoded_for_any_split_of_reads(rows, cuts):
+@given(st.lists(st.tuples(HEX_IDS, st.integers(0, 9), st.binary(max_size=300)), max_size=5), st.lists(st.integers(0, 5000), max_size=8))
+def test_requests_are_decoded_for_any_split_of_reads(rows, cut_points):
     data = b"".join(
         b"".join(
             frames.encode(
@@ -53,7 +54,7 @@
         for index, (txn, part, body) in enumerate(rows)
     )
     decoder = frames.Decoder()
-    values = [value for piece in cut(data, cuts) for value in decoder.feed(piece)]
+    values = [value for piece in split_at(data, cut_points) for value in decoder.feed(piece)]
     assert [(value.txn, value.part, value.body, value.limit, value.kb, value.group) for value in values[::2]] == [
         (txn, part, body, 1_500_000_000, 412.5, 17) for txn, part, body in rows
     ]
@@ -62,10 +63,10 @@
 
 @tries(deadline=None, derandomize=True)
 @given(st.binary(max_size=400), st.lists(st.integers(0, 400), max_size=4))
-def test_garbage_gives_decoded_values_or_the_decoder_s_error(data, cuts):
+def test_garbage_gives_decoded_values_or_the_decoder_s_error(data, cut_points):
     for decoder, bad_data_error in ((frames.Decoder(), frames.BadFrame), (resp.Decoder(), resp.BadReply)):
         try:
-            for piece in cut(data, cuts):
+            for piece in split_at(data, cut_points):
                 for value in decoder.feed(piece):
                     assert isinstance(value, (frames.Request, frames.UnusableRequest, frames.Withdrawal, frames.ReadyQuery, resp.Reply))
         except bad_data_error:
@@ -74,10 +75,10 @@
 
 @tries(deadline=None, derandomize=True)
 @given(st.binary(max_size=200), st.binary(max_size=60), st.lists(st.integers(0, 400), max_size=4))
-def test_a_request_with_any_payload_is_decoded_or_unusable(payload, body, cuts):
+def test_a_request_with_any_payload_is_decoded_or_unusable(payload, body, cut_points):
     decoder = frames.Decoder()
     data = b"".join(frames.encode(frames.REQUEST, 5, None, None, payload + body))
-    (value,) = [decoded for piece in cut(data, cuts) for decoded in decoder.feed(piece)]
+    (value,) = [decoded for piece in split_at(data, cut_points) for decoded in decoder.feed(piece)]
     assert isinstance(value, (frames.Request, frames.UnusableRequest)) and value.stream == 5
 
 
@@ -85,7 +86,7 @@
 @given(
     st.lists(
         st.tuples(
-            HEXES,
+            HEX_IDS,
             st.sampled_from(sorted(resp.RESULT_BY_WORD)),
             st.binary(max_size=400),
             st.sampled_from(resp.FILL_NOTES),
@@ -95,7 +96,7 @@
     ),
     st.lists(st.integers(0, 4000), max_size=8),
 )
-def test_replies_are_decoded_for_any_split_of_reads(rows, cuts):
+def test_replies_are_decoded_for_any_split_of_reads(rows, cut_points):
     data = b"".join(
         resp.encode_array(
             ident.encode(),
@@ -106,7 +107,7 @@
         for ident, word, body, note, delay in rows
     )
     decoder = resp.Decoder()
-    replies = [(reply, bytes(reply.body)) for piece in cut(data, cuts) for reply in decoder.feed(piece)]
+    replies = [(reply, bytes(reply.body)) for piece in split_at(data, cut_points) for reply in decoder.feed(piece)]
     assert [(reply_row.ident, reply_row.result, body, reply_row.note) for reply_row, body in replies] == [
         (ident, resp.RESULT_BY_WORD[word], body, resp.FILL_NOTES.index(note)) for ident, word, body, note, _ in rows
     ]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -13,10 +13,9 @@
 import pytest
 from helpers import Cache, Client, Events, Listener, Notices, clock, endpoint, sender, settings, until
 
-from fieldspur.__main__ import Service as Whole
+from fieldspur.__main__ import Service as RouterService
 from fieldspur.host import RESULTS
-from fieldspur.net import invariants as holding
-from fieldspur.net import resp
+from fieldspur.net import invariants, resp
 from fieldspur.net.admission import Admission
 from fieldspur.net.client_listener import ClientConnection, ClientListener, encode
 from fieldspur.net.client_writer import AnswerSender, ClientWriter
@@ -488,7 +487,7 @@
     service = run(Cache(), limits={"cores": 1.0, "memory_mb": 32, "sockets": 1024})
     service.end()
     service.path.write_text(json.dumps(service.conf))
-    local_service = Whole(read_node({"LB_CONFIG": str(service.path)}))
+    local_service = RouterService(read_node({"LB_CONFIG": str(service.path)}))
     local_service.client_listener.stop_listening()
     assert local_service.send.max_connections == 16 and local_service.client_listener.max_clients == 512
 
@@ -510,7 +509,7 @@
 
 def test_invariants_are_asserted_in_debug_builds_and_counted_in_release_builds():
     with pytest.raises(AssertionError):
-        holding.check_invariant(False, "a thing")
+        invariants.check_invariant(False, "a thing")
     code = (
         "from fieldspur.net import logs, invariants as h; logs.configure()\n"
         "print(h.check_invariant(True, 'a'), h.check_invariant(False, 'b', n=1), h.check_invariant(False, 'b'), h.violation_counts)"
