--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -29,15 +29,15 @@
 from fieldspur.record import replace
 
 
-class Failing:
+class FailingListener:
     """A listener whose accept fails with the given error numbers before it works."""
 
-    def __init__(self, listener, *numbers):
-        self.listener, self.numbers = listener, list(numbers)
+    def __init__(self, listener, *error_numbers):
+        self.listener, self.error_numbers = listener, list(error_numbers)
 
     def accept(self):
-        if self.numbers:
-            raise OSError(self.numbers.pop(0), "for a moment")
+        if self.error_numbers:
+            raise OSError(self.error_numbers.pop(0), "for a moment")
         return self.listener.accept()
 
     def __getattr__(self, name):
@@ -48,14 +48,14 @@
     """A socket that its owner closes, by `end`, between two uses of its descriptor, unless the code that uses it prevents that."""
 
     def __init__(self, sock, end, wait=0.2):
-        self.sock, self.end, self.wait, self.ending = sock, end, wait, None
+        self.sock, self.end, self.wait, self.ending_thread = sock, end, wait, None
 
     def fileno(self):
         number = self.sock.fileno()
-        if self.ending is None:
-            self.ending = threading.Thread(target=self.end)
-            self.ending.start()
-            self.ending.join(self.wait)
+        if self.ending_thread is None:
+            self.ending_thread = threading.Thread(target=self.end)
+            self.ending_thread.start()
+            self.ending_thread.join(self.wait)
         return number
 
 
@@ -93,13 +93,13 @@
     pool = sender(cache.address)
     pool.enqueue(hop_with_limit(pool, 3000)).write_queued()  # its connect takes 0.4 s
     until(lambda: cache.wants)
-    other = hop_with_limit(pool, 3000, ident=6, taken_ms_ago=50)
+    waiting_hop = hop_with_limit(pool, 3000, ident=6, taken_ms_ago=50)
     client_writer = pool.open_txns.by_id[6].client_writer
     client_writer.client_sock.sendall(b"half a frame")
     until(lambda: receive_poll(client_writer.sock).poll(0))
-    pool.enqueue(other).write_queued()  # it waits for its client's reader
+    pool.enqueue(waiting_hop).write_queued()  # it waits for its client's reader
     time.sleep(0.4)
-    assert client_writer.waiting_hops == [other]
+    assert client_writer.waiting_hops == [waiting_hop]
     client_writer.processed_bytes += len(client_writer.sock.recv(100))
     client_writer.release_waiting()
     until(lambda: len(cache.wants) == 2)
@@ -109,18 +109,18 @@
 def test_a_request_s_time_counts_from_its_arrival_and_not_from_its_read(run):
     """Found by the soak (seed 211): the client's reader waited 250 ms for discovery, for other txns.
     A stop of the process has the same effect."""
-    client_listener, times = make_listener(), {}
+    client_listener, arrival_times = make_listener(), {}
     client_listener.admission.handle_request = lambda request, client_writer, now: (
-        client_writer.open_stream(request.stream, 7) and not times.update({request.stream: now})
+        client_writer.open_stream(request.stream, 7) and not arrival_times.update({request.stream: now})
     )
-    client_listener.router_host.finish_batch = lambda: time.sleep(0.3) if len(times) == 1 else None
+    client_listener.router_host.finish_batch = lambda: time.sleep(0.3) if len(arrival_times) == 1 else None
     there = connect_client(client_listener)
     there.ask(1)
-    until(lambda: times)
+    until(lambda: arrival_times)
     there.ask(2)
-    sent = clock()
-    until(lambda: len(times) == 2)
-    assert abs(times[2] - sent) < 60 * MS < clock() - sent
+    sent_at = clock()
+    until(lambda: len(arrival_times) == 2)
+    assert abs(arrival_times[2] - sent_at) < 60 * MS < clock() - sent_at
     client_listener.stop_listening()
     service = run(cache := Cache(lambda want: None))
     client = service.client()
@@ -174,29 +174,34 @@
 
 
 def test_a_dial_that_fails_on_this_machine_for_a_moment_is_retried_and_counts_against_no_server(monkeypatch):
-    for call, numbers in (("connect", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN]), ("socket", [errno.ENFILE, errno.ENOBUFS])):
+    for call, error_numbers in (
+        ("connect", [errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.EAGAIN]),
+        ("socket", [errno.ENFILE, errno.ENOBUFS]),
+    ):
         cache = Cache(lambda want: None)
         pool = sender(cache.address)
         attempt = hop_with_limit(pool, 3000)
         with monkeypatch.context() as patched:
             if call == "connect":
-                patched.setattr(socket.socket, "connect", fails_first(socket.socket.connect, numbers))
+                patched.setattr(socket.socket, "connect", fails_first(socket.socket.connect, error_numbers))
             else:
                 patched.setattr(
-                    server_connection_module, "socket", SimpleNamespace(**vars(socket) | {"socket": fails_first(socket.socket, numbers)})
+                    server_connection_module,
+                    "socket",
+                    SimpleNamespace(**vars(socket) | {"socket": fails_first(socket.socket, error_numbers)}),
                 )
             pool.enqueue(attempt).write_queued()
             until(lambda: cache.wants, limit=3)
-        assert not numbers and not pool.host.posted
+        assert not error_numbers and not pool.host.posted
 
 
-def fails_first(real, numbers):
+def fails_first(real_call, error_numbers):
     """Returns a call that fails with each of these error numbers before it works."""
 
-    def call(*about):
-        if numbers:
-            raise OSError(numbers.pop(0), "for a moment")
-        return real(*about)
+    def call(*arguments):
+        if error_numbers:
+            raise OSError(error_numbers.pop(0), "for a moment")
+        return real_call(*arguments)
 
     return call
 
@@ -250,30 +255,30 @@
     end of the connection to a server."""
     monkeypatch.setattr(discovery_module, "SILENCE_LIMIT_S", 0.3)
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        board = DiscoveryClient(listener.getsockname(), SimpleNamespace(start_batch=lambda: None, finish_batch=lambda: None), 1)
-        threading.Thread(target=lambda: pytest.raises(TimeoutError, board.watch), daemon=True).start()
-        there, real = listener.accept()[0], until(lambda: board.sock)
+        discovery = DiscoveryClient(listener.getsockname(), SimpleNamespace(start_batch=lambda: None, finish_batch=lambda: None), 1)
+        threading.Thread(target=lambda: pytest.raises(TimeoutError, discovery.watch), daemon=True).start()
+        there, real = listener.accept()[0], until(lambda: discovery.sock)
         assert there.recv(100) == b"watch 0\n"
 
-        board.excused_line_at = board.last_line_at
-        board.sock = look = ClosedDuringPoll(real, lambda: until(lambda: real.fileno() < 0, limit=2), wait=0.6)
-        with board.read_lock:
-            assert board.may_be_behind() is False
-        look.ending.join()
+        discovery.excused_line_at = discovery.last_line_at
+        discovery.sock = closing_sock = ClosedDuringPoll(real, lambda: until(lambda: real.fileno() < 0, limit=2), wait=0.6)
+        with discovery.read_lock:
+            assert discovery.may_be_behind() is False
+        closing_sock.ending_thread.join()
 
 
 def test_a_configuration_that_can_not_be_opened_for_a_moment_is_reloaded_after_it(run):
-    other = Notices()
+    other_discovery = Notices()
     service = run(Cache())
     _client = service.client()
     until(lambda: service.board.watched)
-    there = set(map(int, os.listdir(f"/proc/{service.process.pid}/fd")))
-    _, most = resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE)
-    resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (min(set(range(1000)) - there), most))
-    service.reload(board=other.address)
+    open_descriptors = set(map(int, os.listdir(f"/proc/{service.process.pid}/fd")))
+    _, hard_limit = resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE)
+    resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (min(set(range(1000)) - open_descriptors), hard_limit))
+    service.reload(board=other_discovery.address)
     time.sleep(0.3)
-    resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (most, most))
-    until(lambda: other.watched, limit=5)
+    resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
+    until(lambda: other_discovery.watched, limit=5)
 
 
 def test_a_start_at_a_moment_without_descriptors_succeeds(run, tmp_path):
@@ -295,20 +300,20 @@
 def test_a_connection_accepted_while_the_listener_closes_is_listed_before_the_program_checks_the_list():
     """Its thread did not run between the accept and the listing; all listed connections were shut, and the program ended."""
     client_listener = make_listener()
-    real, handed = client_listener.listening_socket, threading.Event()
+    real, accepted = client_listener.listening_socket, threading.Event()
 
-    class Slow(Failing):
+    class SlowListener(FailingListener):
         def accept(self):
-            found = super().accept()
-            handed.set()
+            connection = super().accept()
+            accepted.set()
             time.sleep(0.3)
-            return found
+            return connection
 
-    client_listener.listening_socket = Slow(real)
+    client_listener.listening_socket = SlowListener(real)
     threading.Thread(target=client_listener.run, daemon=True).start()
     there = connect_client(client_listener, accept=False)
     there.ask(1)
-    assert handed.wait(5)
+    assert accepted.wait(5)
     client_listener.stop_listening()
     assert client_listener.clients and not client_listener.shut_connections(late=False) or client_listener.admission.streams == [1]
 
@@ -318,7 +323,7 @@
     clients = [connect_client(client_listener, accept=False) for _ in range(3)]
     for stream, client in enumerate(clients, 1):
         client.ask(stream)
-    client_listener.listening_socket = Failing(client_listener.listening_socket, errno.ECONNABORTED, errno.ENFILE)
+    client_listener.listening_socket = FailingListener(client_listener.listening_socket, errno.ECONNABORTED, errno.ENFILE)
     client_listener.stop_listening()
     until(lambda: sorted(client_listener.admission.streams) == [1, 2, 3], limit=3)
 
@@ -326,15 +331,15 @@
 def test_an_accept_that_fails_for_a_moment_closes_no_client_connection():
     """Found by the soak (seed 122): a request that was sent over an idle connection at that moment was cut off with the connection."""
     client_listener = make_listener()
-    resting = [connect_client(client_listener) for _ in range(3)]
-    client_listener.listening_socket = Failing(
+    idle_clients = [connect_client(client_listener) for _ in range(3)]
+    client_listener.listening_socket = FailingListener(
         client_listener.listening_socket, errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ECONNABORTED
     )
     threading.Thread(target=client_listener.run, daemon=True).start()
-    further = connect_client(client_listener, accept=False)
-    further.ask(9)
+    new_client = connect_client(client_listener, accept=False)
+    new_client.ask(9)
     until(lambda: client_listener.admission.streams == [9])
-    for stream, client in enumerate(resting, 1):
+    for stream, client in enumerate(idle_clients, 1):
         client.ask(stream)
     until(lambda: sorted(client_listener.admission.streams) == [1, 2, 3, 9])
     client_listener.stop_listening()
@@ -362,23 +367,23 @@
     )
     client.sock = ClosedDuringPoll(here, client.client_writer.reader_ended)
     assert client.has_unread_bytes() is False
-    client.sock.ending.join()
+    client.sock.ending_thread.join()
     assert client.has_unread_bytes() is False and here.fileno() < 0
 
 
 def test_an_operators_file_that_can_not_be_opened_for_a_moment_is_read_after_it(run, tmp_path, monkeypatch):
     """Found by code review: only the node's file was retried, so that a start at that moment failed, and a reload was refused."""
     service = run(Cache(), operators={"counts": {"every_s": 7.0}})
-    left = [errno.EMFILE, errno.ENFILE, errno.ENOMEM]
+    errors_left = [errno.EMFILE, errno.ENFILE, errno.ENOMEM]
 
-    def fails(path, *about):
-        if left:
-            raise OSError(left.pop(), "for a moment")
+    def failing_open(path, *about):
+        if errors_left:
+            raise OSError(errors_left.pop(), "for a moment")
         return open(path, *about)
 
-    monkeypatch.setattr(operators, "open", fails, raising=False)
+    monkeypatch.setattr(operators, "open", failing_open, raising=False)
     _, wishes = files_of({"LB_CONFIG": str(service.path), "LB_OPERATORS": str(service.folder / "operators.json")})
-    assert wishes.counts.every_s == 7.0 and not left
-    left.append(errno.EACCES)
+    assert wishes.counts.every_s == 7.0 and not errors_left
+    errors_left.append(errno.EACCES)
     with pytest.raises(operators.BadFile, match="for a moment"):
         files_of({"LB_CONFIG": str(service.path), "LB_OPERATORS": str(service.folder / "operators.json")})
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -33,7 +33,7 @@
         return self.lock.__exit__(*exc_info)
 
 
-class Crashing(Cache):
+class CrashingCache(Cache):
     """A cache whose process can crash and come back at the same address. A crash resets its connections and refuses further ones."""
 
     def crash(self):
@@ -69,7 +69,7 @@
 
 def test_servers_that_crash_together_and_are_listed_again_end_no_router(tmp_path):
     """Issue 40 with processes: 4 of 38 routers ended within 0.2 s of such a crash; in this test the router ended in seven of seven runs."""
-    caches = [Crashing() for _ in range(12)]
+    caches = [CrashingCache() for _ in range(12)]
     service = Service(tmp_path, caches)
     service.client()
     stop = threading.Event()  # ends the client threads
@@ -84,8 +84,8 @@
             for status in ("removed", "up"):
                 for number, cache in enumerate(caches):
                     time.sleep(0.005)
-                    rows = [endpoint(f"c{number}", cache.address, status=status)]
-                    service.board.tell(next(revisions), pool={"index": 1, "snapshot": False, "endpoints": rows})
+                    endpoints = [endpoint(f"c{number}", cache.address, status=status)]
+                    service.board.tell(next(revisions), pool={"index": 1, "snapshot": False, "endpoints": endpoints})
             for cache in caches:
                 cache.come_back()
             time.sleep(0.1)
@@ -124,42 +124,42 @@
 
 
 def test_counts_by_reason_are_exact_and_can_be_read_while_others_count():
-    counter, counted = ReasonCounter(CloseReason), 20_000
+    counter, count_per_thread = ReasonCounter(CloseReason), 20_000
     threads = [
-        threading.Thread(target=lambda reason=reason: [counter.add(reason) for _ in range(counted)])
+        threading.Thread(target=lambda reason=reason: [counter.add(reason) for _ in range(count_per_thread)])
         for reason in (CloseReason.IDLE, CloseReason.IDLE, CloseReason.DESCRIPTORS)
     ]
     for thread in threads:
         thread.start()
     while any(thread.is_alive() for thread in threads):
         counter.log_fields("closed")
-    assert counter.log_fields("closed") == {"closed_idle": 2 * counted, "closed_descriptors": counted}
+    assert counter.log_fields("closed") == {"closed_idle": 2 * count_per_thread, "closed_descriptors": count_per_thread}
 
 
 def test_an_attempt_goes_to_the_current_address_of_its_server():
     """The server is listed at another address, and its old connection leads to a removed process or to another server."""
-    old, new = Cache(lambda want: None), Cache(lambda want: None)
-    pool = sender(old.address)
+    old_cache, new_cache = Cache(lambda want: None), Cache(lambda want: None)
+    pool = sender(old_cache.address)
     pool.enqueue(open_txn_with_hop(pool, staying_client_writer(pool), ident=5)).write_queued()
-    until(lambda: old.wants)
-    host, port = new.address.split(":")
+    until(lambda: old_cache.wants)
+    host, port = new_cache.address.split(":")
     pool.update_endpoint("c0", (host, int(port)), "up")
     pool.enqueue(open_txn_with_hop(pool, staying_client_writer(pool), ident=6)).write_queued()
-    until(lambda: new.wants)
-    assert len(old.wants) == len(new.wants) == 1
+    until(lambda: new_cache.wants)
+    assert len(old_cache.wants) == len(new_cache.wants) == 1
 
 
 def test_a_waiting_attempt_is_not_written_to_the_old_address_of_its_server(monkeypatch):
-    old, new = Cache(lambda want: None), Cache(lambda want: None)
-    pool = sender(old.address)
+    old_cache, new_cache = Cache(lambda want: None), Cache(lambda want: None)
+    pool = sender(old_cache.address)
     attempt = open_txn_with_hop(pool, staying_client_writer(pool))
     connects_allowed = block_connects(monkeypatch)
     pool.enqueue(attempt)
-    host, port = new.address.split(":")
+    host, port = new_cache.address.split(":")
     pool.update_endpoint("c0", (host, int(port)), "up")
     connects_allowed.set()
     assert [arguments[:2] for arguments in until(lambda: pool.host.posted)] == [(attempt, "unsent")]
-    assert not attempt.written_at and not old.wants
+    assert not attempt.written_at and not old_cache.wants
 
 
 def block_connects(monkeypatch):
@@ -171,7 +171,7 @@
 
 def test_an_attempt_is_not_written_to_a_process_that_replaced_the_one_it_was_decided_for(monkeypatch):
     """The attempt is not in the slow-start budget of the new process. The Router gets the list change first and then decides again."""
-    for restarts in ("server", "source"):
+    for restarted in ("server", "source"):
         cache = Cache(lambda want: None)
         pool, router_host = make_router_host(cache)
         parent = replace(listed_server(cache, "up"), name="p0", kind="parent")
@@ -181,10 +181,10 @@
         with router_host.lock:  # the Router is busy and has not received the list change
             router_host.send_hop(5, "c0", clock() + 3 * SECOND, "p0", 0, 0, False, False, True, NEVER)
             connection = router_host.outbox[-1][0]
-            before = listed_server(cache, "up") if restarts == "server" else parent
-            router_host.list_received(ListChange(False, (replace(before, started=clock() // MS * MS),)))
+            listed_before = listed_server(cache, "up") if restarted == "server" else parent
+            router_host.list_received(ListChange(False, (replace(listed_before, started=clock() // MS * MS),)))
             connects_allowed.set()
             until(lambda: connection.connected)
             time.sleep(0.1)
-            assert not cache.wants, restarts
+            assert not cache.wants, restarted
             assert [posted[0] for posted in router_host.queue] == [router_host.apply_list, router_host.hop_ended]
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -33,8 +33,8 @@
 
 def test_an_attempt_that_is_taken_back_at_the_moment_of_its_write_affects_no_other(monkeypatch):
     """The thread that handles a purge or a list change takes attempts out of a connection's queue."""
-    failed, before = [], contained_errors.log_fields().get("contained_write")
-    monkeypatch.setattr(threading, "excepthook", failed.append)
+    thread_errors, count_before = [], contained_errors.log_fields().get("contained_write")
+    monkeypatch.setattr(threading, "excepthook", thread_errors.append)
     cache = Cache(lambda want: None)
     pool = sender(cache.address)
     attempt = open_txn_with_hop(pool, staying_client_writer(pool), ident=5)
@@ -46,7 +46,7 @@
     pool.enqueue(open_txn_with_hop(pool, staying_client_writer(pool), ident=6)).write_queued()
     until(lambda: [want["id"] for want in cache.wants] == ["%016x" % 6])
     assert (
-        not failed and contained_errors.log_fields().get("contained_write") == before
+        not thread_errors and contained_errors.log_fields().get("contained_write") == count_before
     )  # the error must not occur at all, contained or not
 
 
@@ -59,14 +59,14 @@
     connection.write_queued()  # like the thread that queued the hop: the connection may have been established before
     until(lambda: connection.connected)
     until(lambda: not connection.queue)
-    failed = []
-    finished = threading.Thread(target=lambda: failed.extend(errors_raised_by(connection.write_rest)))
+    errors = []
+    writer = threading.Thread(target=lambda: errors.extend(errors_raised_by(connection.write_rest)))
     with connection.write_lock:
         connection.unwritten, connection.partial_hop, connection.rest_writer_active = [b"*1\r\n$4\r\nrest\r\n"], probe, True
         limit_unsent(connection.sock)
-    finished.start()
-    finished.join(5)
-    assert not failed and not connection.rest_writer_active and not connection.unwritten
+    writer.start()
+    writer.join(5)
+    assert not errors and not connection.rest_writer_active and not connection.unwritten
 
 
 def errors_raised_by(call):
@@ -143,26 +143,26 @@
 def test_an_attempt_cancelled_while_an_earlier_cancel_is_delivered_keeps_its_own_entry():
     """Both are kept under the request's number: removing the earlier one must not remove the one that has replaced it."""
     pool = sender(Cache(lambda want: None).address)
-    first = open_txn_with_hop(pool, staying_client_writer(pool))
-    second = replace(first, number=1)
-    connection = pool.enqueue(second)
+    first_hop = open_txn_with_hop(pool, staying_client_writer(pool))
+    second_hop = replace(first_hop, number=1)
+    connection = pool.enqueue(second_hop)
     connection.write_queued()
-    until(lambda: second.written_at)
+    until(lambda: second_hop.written_at)
     threads = []
 
     class CancelBeforeRemoval(dict):
         """Between the check and the removal, another attempt of the same request is cancelled."""
 
         def __delitem__(self, key):
-            threads.append(threading.Thread(target=connection.remove_hop, args=(second, clock())))
+            threads.append(threading.Thread(target=connection.remove_hop, args=(second_hop, clock())))
             threads[0].start()
             threads[0].join(0.3)
             super().__delitem__(key)
 
-    pool.undelivered_cancels = CancelBeforeRemoval({5: first})
-    pool.cancel_delivered(first)
+    pool.undelivered_cancels = CancelBeforeRemoval({5: first_hop})
+    pool.cancel_delivered(first_hop)
     threads[0].join()
-    assert pool.undelivered_cancels.get(5) is second
+    assert pool.undelivered_cancels.get(5) is second_hop
 
 
 def test_each_request_of_one_late_read_counts_from_its_own_arrival(run):
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -64,16 +64,16 @@
     for stream in range(first, first + count):
         client.ask(stream, item=f"{stream * 7919:016x}")
     answers = [client.get() for _ in range(count)]
-    assert {(a[1], a[2]) for a in answers} == {(stream, 79) for stream in range(first, first + count)}
+    assert {(answer[1], answer[2]) for answer in answers} == {(stream, 79) for stream in range(first, first + count)}
 
 
 def expect_drained(service, caches, last=2, limit=20.0):
     """Waits until the drain of c0 has reached the router, and checks that c0 gets no requests any more."""
     until(lambda: f"last={last}" in service.lines() or service.board.sent[-1:] == [last], limit=limit)
     time.sleep(0.3)
-    before = len(caches[0].wants)
+    count_before = len(caches[0].wants)
     expect_answers(service.client(), 100)
-    assert len(caches[0].wants) == before and len(caches[1].wants) >= 12
+    assert len(caches[0].wants) == count_before and len(caches[1].wants) >= 12
 
 
 @pytest.mark.parametrize(
@@ -92,97 +92,97 @@
 )
 def test_a_drain_sent_over_a_faulty_watch_takes_effect_with_the_next_one(run, moods, max_s):
     """From the first connection on, also in the first seconds: the router never keeps a connection that will stay silent."""
-    caches, board = [Cache(lambda want: HIT) for _ in range(2)], ScriptedDiscovery(*moods)
-    board.events.append(drain_event(caches))
+    caches, discovery = [Cache(lambda want: HIT) for _ in range(2)], ScriptedDiscovery(*moods)
+    discovery.events.append(drain_event(caches))
     began = time.monotonic()
-    service = run(*caches, notices=board)
-    until(lambda: board.sent)
-    took = board.watches[-1][1] - board.watches[0][1]
-    assert len(board.watches) == len(moods) + 1 and took < max_s + 1.0 * len(moods) + 0.5, (took, time.monotonic() - began)
+    service = run(*caches, notices=discovery)
+    until(lambda: discovery.sent)
+    took = discovery.watches[-1][1] - discovery.watches[0][1]
+    assert len(discovery.watches) == len(moods) + 1 and took < max_s + 1.0 * len(moods) + 0.5, (took, time.monotonic() - began)
     expect_drained(service, caches)
 
 
 def test_a_watch_that_falls_silent_is_replaced_and_no_event_is_missed(run):
     """The connection stays open and silent: the events meanwhile come with the next connection, from the last number on."""
-    caches, board, hush = [Cache(lambda want: HIT) for _ in range(2)], Notices(), threading.Event()
-    speak = board.serve
+    caches, discovery, has_fallen_silent = [Cache(lambda want: HIT) for _ in range(2)], Notices(), threading.Event()
+    real_serve = discovery.serve
 
     def serve(conn):
-        if hush.is_set() or board.watched:
-            return speak(conn)
-        board.watched.append(int(conn.makefile("rb").readline().split()[1]))
+        if has_fallen_silent.is_set() or discovery.watched:
+            return real_serve(conn)
+        discovery.watched.append(int(conn.makefile("rb").readline().split()[1]))
         conn.sendall(b"1\n")
-        hush.set()
+        has_fallen_silent.set()
         while conn.recv(4096):
             pass
 
-    board.serve = serve
-    service = run(*caches, notices=board)
+    discovery.serve = serve
+    service = run(*caches, notices=discovery)
     expect_answers(service.client(), 1)
-    board.events.append(drain_event(caches))
+    discovery.events.append(drain_event(caches))
     began = time.monotonic()
     expect_drained(service, caches, limit=SILENCE_LIMIT_S + 2)
-    assert board.watched == [1, 1] and time.monotonic() - began < SILENCE_LIMIT_S + 3
+    assert discovery.watched == [1, 1] and time.monotonic() - began < SILENCE_LIMIT_S + 3
 
 
 def test_an_event_after_heartbeats_with_an_old_number_takes_effect(run):
     """Heartbeats without events keep the connection; the event that follows takes effect at once."""
-    caches, board = [Cache(lambda want: HIT) for _ in range(2)], ScriptedDiscovery("an old number")
-    service = run(*caches, notices=board)
+    caches, discovery = [Cache(lambda want: HIT) for _ in range(2)], ScriptedDiscovery("an old number")
+    service = run(*caches, notices=discovery)
     expect_answers(service.client(), 1)
     time.sleep(SILENCE_LIMIT_S + 0.5)
-    assert len(board.watches) == 1 and "event=lost" not in service.lines()
-    board.events.append(drain_event(caches))
-    board.conns[0].sendall(json.dumps(board.events[0]).encode() + b"\n")
-    board.sent.append(2)
+    assert len(discovery.watches) == 1 and "event=lost" not in service.lines()
+    discovery.events.append(drain_event(caches))
+    discovery.conns[0].sendall(json.dumps(discovery.events[0]).encode() + b"\n")
+    discovery.sent.append(2)
     expect_drained(service, caches)
 
 
 @pytest.mark.parametrize("first", ["silent", "refuses", "never comes up", "half a line"])
 def test_a_change_of_address_takes_effect_whatever_the_old_watch_is_doing(run, first):
     """Between connect and the first read, within a line, before the connect has succeeded, and in the pause after a refused connect."""
-    caches, new = [Cache(lambda want: HIT) for _ in range(2)], Notices()
-    new.events.append(drain_event(caches))
-    old, pending_sockets = ScriptedDiscovery(*[first] * 9), []
-    old.events.append(drain_event(caches))
-    where = old.address
+    caches, new_discovery = [Cache(lambda want: HIT) for _ in range(2)], Notices()
+    new_discovery.events.append(drain_event(caches))
+    old_discovery, pending_sockets = ScriptedDiscovery(*[first] * 9), []
+    old_discovery.events.append(drain_event(caches))
+    address = old_discovery.address
     if first == "refuses":
-        where = "127.0.0.1:%d" % free_port("127.0.0.1")
+        address = "127.0.0.1:%d" % free_port("127.0.0.1")
     if first == "never comes up":
         full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
-        where = "127.0.0.1:%d" % full_listener.getsockname()[1]
+        address = "127.0.0.1:%d" % full_listener.getsockname()[1]
         for _ in range(4):
             pending_sockets.append(socket.socket())
             pending_sockets[-1].setblocking(False)
             pending_sockets[-1].connect_ex(full_listener.getsockname())
-    service = run(*caches, notices=old, board=where)
+    service = run(*caches, notices=old_discovery, board=address)
     service.client()
     if first in ("silent", "half a line"):
-        until(lambda: old.watches)
+        until(lambda: old_discovery.watches)
     began = time.monotonic()
-    service.reload(board=new.address)
-    until(lambda: new.watched, limit=5)
-    assert time.monotonic() - began < 1.0 and new.watched == [1]
-    service.board = new
+    service.reload(board=new_discovery.address)
+    until(lambda: new_discovery.watched, limit=5)
+    assert time.monotonic() - began < 1.0 and new_discovery.watched == [1]
+    service.board = new_discovery
     expect_drained(service, caches)
 
 
 def test_of_several_address_changes_the_last_one_counts_even_after_an_address_that_is_down(run):
-    caches, boards = [Cache(lambda want: HIT) for _ in range(2)], [Notices() for _ in range(3)]
-    service = run(*caches, notices=boards[0])
+    caches, discoveries = [Cache(lambda want: HIT) for _ in range(2)], [Notices() for _ in range(3)]
+    service = run(*caches, notices=discoveries[0])
     service.client()
-    down = "127.0.0.1:%d" % free_port("127.0.0.1")
-    for where in (boards[1].address, down, boards[2].address):
-        service.reload(board=where)
-    until(lambda: boards[2].watched)
-    boards[2].events.append(drain_event(caches))
-    service.board = boards[2]
+    unused_address = "127.0.0.1:%d" % free_port("127.0.0.1")
+    for address in (discoveries[1].address, unused_address, discoveries[2].address):
+        service.reload(board=address)
+    until(lambda: discoveries[2].watched)
+    discoveries[2].events.append(drain_event(caches))
+    service.board = discoveries[2]
     expect_drained(service, caches)
-    service.reload(board=down)
+    service.reload(board=unused_address)
     until(lambda: "refused" in service.lines().lower())
     expect_answers(service.client(), 200)  # by the last list that it received
-    service.reload(board=boards[1].address)
-    until(lambda: boards[1].watched[-1:] == [2])
+    service.reload(board=discoveries[1].address)
+    until(lambda: discoveries[1].watched[-1:] == [2])
 
 
 def test_idle_clients_that_use_all_descriptors_lock_out_neither_discovery_nor_other_clients(run):
@@ -192,9 +192,9 @@
     service = run(*caches, board=f"127.0.0.1:{port}", limits={"cores": 1.0, "memory_mb": 192, "sockets": 64})
     client = service.client()
     resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (64, 64))
-    idle = []
+    idle_sockets = []
     for _ in range(150):
-        idle.append(socket.create_connection(client.sock.getpeername(), timeout=20))
+        idle_sockets.append(socket.create_connection(client.sock.getpeername(), timeout=20))
     cpu_before = cpu_seconds(service.process.pid)
     expect_answers(Client(service.address), 1)
     time.sleep(1.0)
@@ -207,7 +207,7 @@
             threading.Thread(target=self.run, daemon=True).start()
 
     for _ in range(60):
-        idle.append(socket.create_connection(client.sock.getpeername(), timeout=20))
+        idle_sockets.append(socket.create_connection(client.sock.getpeername(), timeout=20))
     service.board = RestartedDiscovery()
     expect_drained(service, caches)
     assert "event=accept" not in service.lines()
@@ -219,15 +219,15 @@
     service = run(cache)
     first = service.client()
     expect_answers(first, 1)
-    there = len(os.listdir(f"/proc/{service.process.pid}/fd"))
-    resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (there + 5, there + 5))
-    idle = [socket.create_connection(first.sock.getpeername(), timeout=20) for _ in range(20)]
+    open_descriptors = len(os.listdir(f"/proc/{service.process.pid}/fd"))
+    resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (open_descriptors + 5, open_descriptors + 5))
+    idle_sockets = [socket.create_connection(first.sock.getpeername(), timeout=20) for _ in range(20)]
     until(lambda: "event=accept" in service.lines())
     cpu_before, began = cpu_seconds(service.process.pid), time.monotonic()
     expect_answers(Client(service.address), 100)
     assert time.monotonic() - began < 3
     time.sleep(1.0)
-    assert cpu_seconds(service.process.pid) - cpu_before < 0.7 and len(idle) == 20
+    assert cpu_seconds(service.process.pid) - cpu_before < 0.7 and len(idle_sockets) == 20
 
 
 def cpu_seconds(pid):
