--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules model beside the module, on generated days."""
+"""The router against a plain model of its rules, on generated sequences of events; and slow start budgets of many routers."""
 
 import random
 
@@ -49,42 +49,43 @@
     st.sampled_from([0.0, 100.0, 400.0]),
     st.sampled_from([2.0, 10.0]),
 )
-def test_rules_are_kept_on_generated_days(steps, second_copies, sized, kb, rating):
-    day = Referee(RULES, second_copies=second_copies, sized=sized, rating=rating)
+def test_rules_hold_for_generated_events(steps, second_copies, sized, kb, rating):
+    referee = Referee(RULES, second_copies=second_copies, sized=sized, rating=rating)
     for step in steps:
-        live = [i for i, t in day.txns.items() if any(h["out"] for h in t["hops"])]
-        open_txns = [i for i, t in day.txns.items() if not t["final"]]
+        idents_in_flight = [i for i, t in referee.txns.items() if any(h["out"] for h in t["hops"])]
+        open_idents = [i for i, t in referee.txns.items() if not t["final"]]
         if step[0] == "arrive":
-            for part in range(step[5]):  # a few parts at once
+            for part in range(step[5]):  # a few parts of one object at once
                 group = ord(step[2]) % 2
-                day.arrive(len(day.txns), step[1], step[2], step[3] + part, step[4] * MS, kb, group)
-        elif step[0] == "end" and live:
-            day.end(live[step[1] % len(live)], step[2], step[3])
+                referee.arrive(len(referee.txns), step[1], step[2], step[3] + part, step[4] * MS, kb, group)
+        elif step[0] == "end" and idents_in_flight:
+            referee.end(idents_in_flight[step[1] % len(idents_in_flight)], step[2], step[3])
         elif step[0] == "pass":
-            day.pass_time(step[1] * MS)
+            referee.pass_time(step[1] * MS)
         elif step[0] == "purge":
-            day.purge(step[1], 1, step[2] * MS)
+            referee.purge(step[1], 1, step[2] * MS)
         elif step[0] == "list":
-            day.change(step[1], step[2], day.clock if step[3] else None)
-        elif step[0] == "withdraw" and open_txns:
-            day.withdraw(open_txns[step[1] % len(open_txns)])
-        for ident, txn in day.router.txns.items():  # both agree on what is allowed
+            referee.change(step[1], step[2], referee.clock if step[3] else None)
+        elif step[0] == "withdraw" and open_idents:
+            referee.withdraw(open_idents[step[1] % len(open_idents)])
+        for ident, txn in referee.router.txns.items():  # the router and the model agree on what is allowed
             if not txn.ended:
-                for s in day.router.pool.caches:
-                    assert day.router.may_send(txn, s, day.clock) == day.may_send(day.txns[ident], s.name)
-                assert day.router.may_reject(txn) == day.may_reject(day.txns[ident])
-    day.pass_time(10 * SECOND)
-    assert all(t["final"] for t in day.txns.values())
-    assert not day.router.txns and not day.router.collapsing.flights
+                for s in referee.router.pool.caches:
+                    assert referee.router.may_send(txn, s, referee.clock) == referee.may_send(referee.txns[ident], s.name)
+                assert referee.router.may_reject(txn) == referee.may_reject(referee.txns[ident])
+    referee.pass_time(10 * SECOND)
+    assert all(t["final"] for t in referee.txns.values())
+    assert not referee.router.txns and not referee.router.collapsing.flights
 
 
 @pytest.mark.parametrize("routers, rating", [(2, 12.0), (12, 12.0), (120, 40.0), (200, 25.0)])
 @pytest.mark.parametrize("sized", ["nominal", "rough", "none"])
-def test_many_routers_that_share_nothing_do_not_push_over_a_cold_server(routers, rating, sized):
-    """Found at full size: a router's share was under one txn, or what it asked was taken for its share."""
-    fleets, clock, asked = [], 1000 * SECOND, []
+def test_many_independent_routers_do_not_overload_a_server_in_slow_start(routers, rating, sized):
+    """Guards against two faults of large fleets: a router's share of the budget is smaller than one txn, or what a router sent is taken for
+    its share."""
+    pools, clock, sent_times = [], 1000 * SECOND, []
     for seed in range(routers):
-        fleet = ServerPool(
+        pool = ServerPool(
             zone=1,
             parent_kind=1,
             origin_kind=2,
@@ -97,33 +98,33 @@
             link_capacity=0.0,
             siblings=False,
         )
-        fleet.random = random.Random(seed)
-        fleet.list_begins(True)
+        pool.random = random.Random(seed)
+        pool.list_begins(True)
         for name in ("cold", "warm"):
-            fleet.server_listed(name, "up", clock if name == "cold" else 0, 1, rating, 0, 0)
-        fleet.list_ends()
-        fleets.append(fleet)
+            pool.server_listed(name, "up", clock if name == "cold" else 0, 1, rating, 0, 0)
+        pool.list_ends()
+        pools.append(pool)
     for now in range(clock, clock + RAMP, 20 * MS):
-        for fleet in fleets:  # the warm one is at its limit, and all ask the cold one for all that they may
-            fleet.count_transfer(fleet.servers["warm"], int(20 * MS * rating / routers), now)
-            while fleet.has_budget(fleet.servers["cold"], now, 300 * MS):
-                fleet.servers["cold"].tokens -= 300 * MS
-                asked.append(now)
-        able = rating * (COLD + (1 - COLD) * max(0, now - SPAN - clock) / RAMP)
-        assert 0.3 * sum(at > now - SPAN for at in asked) <= MULTIPLE * able + 0.3
-    assert 0.3 * len(asked) > 0.1 * rating * RAMP / SECOND  # and it is used
+        for pool in pools:  # the warmed-up server is at its limit, and every router uses its whole budget for the other one
+            pool.count_transfer(pool.servers["warm"], int(20 * MS * rating / routers), now)
+            while pool.has_budget(pool.servers["cold"], now, 300 * MS):
+                pool.servers["cold"].tokens -= 300 * MS
+                sent_times.append(now)
+        capacity = rating * (COLD + (1 - COLD) * max(0, now - SPAN - clock) / RAMP)
+        assert 0.3 * sum(sent_at > now - SPAN for sent_at in sent_times) <= MULTIPLE * capacity + 0.3
+    assert 0.3 * len(sent_times) > 0.1 * rating * RAMP / SECOND  # the budget is used
 
 
 @pytest.mark.parametrize("routers, rating", [(20, 40.0), (30, 200.0), (200, 200.0)])
-@pytest.mark.parametrize("again", [(0.3,), (0.2, 0.5, 0.8)])
-@pytest.mark.parametrize("late", [False, True])
-def test_routers_that_are_restarted_in_the_middle_of_a_span_do_not_spend_it_again(routers, rating, again, late):
-    """Seven in ten of them, in each second span, each time after they have asked for all that they may. With `late` a third of their
-    connections come up only within 1.5 s, and what was decided meanwhile goes out together then, if it still may."""
-    clock, asked, dice = 1000 * SECOND, [], random.Random(3)
+@pytest.mark.parametrize("restarts_at", [(0.3,), (0.2, 0.5, 0.8)])
+@pytest.mark.parametrize("slow_connects", [False, True])
+def test_routers_restarted_within_a_budget_window_do_not_spend_its_budget_again(routers, rating, restarts_at, slow_connects):
+    """In every second window seven of ten routers restart, each time after they have used their whole budget. With `slow_connects` a
+    third of the connections come up only within 1.5 s; the hops decided meanwhile are sent together then, if they still may be."""
+    clock, sent_times, rng = 1000 * SECOND, [], random.Random(3)
 
-    def begin(seed, now):
-        fleet = ServerPool(
+    def start_router(seed, now):
+        pool = ServerPool(
             zone=1,
             parent_kind=1,
             origin_kind=2,
@@ -136,30 +137,30 @@
             link_capacity=0.0,
             siblings=False,
         )
-        fleet.random, fleet.process_started = random.Random(seed), now
-        fleet.up_at = max(now, clock) + (int(dice.uniform(0, 1.5) * SECOND) if late and dice.random() < 1 / 3 else 0)
-        fleet.list_begins(True)
-        fleet.server_listed("cold", "up", clock, 1, rating, 0, 0)
-        fleet.list_ends()
-        return fleet
+        pool.random, pool.process_started = random.Random(seed), now
+        pool.connected_at = max(now, clock) + (int(rng.uniform(0, 1.5) * SECOND) if slow_connects and rng.random() < 1 / 3 else 0)
+        pool.list_begins(True)
+        pool.server_listed("cold", "up", clock, 1, rating, 0, 0)
+        pool.list_ends()
+        return pool
 
-    fleets = [begin(seed, clock - SECOND) for seed in range(routers)]
+    pools = [start_router(seed, clock - SECOND) for seed in range(routers)]
     for now in range(clock, clock + RAMP, 20 * MS):
-        span, at = divmod(now - clock, SPAN)
-        if span % 2 and at in [int(share * SPAN) for share in again]:
+        window, time_in_window = divmod(now - clock, SPAN)
+        if window % 2 and time_in_window in [int(part * SPAN) for part in restarts_at]:
             for n in range(routers * 7 // 10):
-                fleets[n] = begin(now + n, now)
-        for fleet in fleets:
-            cold = fleet.servers["cold"]
-            while fleet.has_budget(cold, now, 300 * MS):
+                pools[n] = start_router(now + n, now)
+        for pool in pools:
+            cold = pool.servers["cold"]
+            while pool.has_budget(cold, now, 300 * MS):
                 cold.tokens -= 300 * MS
-                if max(now, fleet.up_at) <= fleet.budget_deadline(cold, now):
-                    asked.append(max(now, fleet.up_at))
-    asked.sort()
+                if max(now, pool.connected_at) <= pool.budget_deadline(cold, now):
+                    sent_times.append(max(now, pool.connected_at))
+    sent_times.sort()
     first = 0
-    for n, at in enumerate(asked):
-        while asked[first] <= at - SPAN:
+    for last, sent_at in enumerate(sent_times):
+        while sent_times[first] <= sent_at - SPAN:
             first += 1
-        budget = MULTIPLE * rating * (COLD + (1 - COLD) * max(0, at - SPAN - clock) / RAMP) / 0.3
-        assert n + 1 - first <= budget + 2 * budget**0.5 + 2
-    assert 0.3 * len(asked) > 0.1 * rating * RAMP / SECOND  # and it is used
+        budget = MULTIPLE * rating * (COLD + (1 - COLD) * max(0, sent_at - SPAN - clock) / RAMP) / 0.3
+        assert last + 1 - first <= budget + 2 * budget**0.5 + 2
+    assert 0.3 * len(sent_times) > 0.1 * rating * RAMP / SECOND  # the budget is used
