--- a/fieldspur/net/router_host.py
+++ b/fieldspur/net/router_host.py
@@ -172,6 +172,7 @@
         self.timer_was_set = False
 
     def handle_timer(self, ident: int, number: int) -> None:
+        """Runs the timer with this key."""
         if ident == ALARM:
             self.alarms.pop(number, None)
             self.router.alarm_fired(number)
@@ -185,8 +186,8 @@
     def contain_error(self, arguments: tuple) -> None:
         """Contains an unforeseen error in an event or a timer with these arguments. It costs the txn that it concerns, which is answered at
         once. If it concerns no txn or several, all open txns still get their answers by their time limits."""
-        first = arguments[0] if arguments else None
-        ident = first if isinstance(first, int) else getattr(first, "ident", PROBE)
+        first_argument = arguments[0] if arguments else None
+        ident = first_argument if isinstance(first_argument, int) else getattr(first_argument, "ident", PROBE)
         contained_errors.record("event", txn=ident)
         self.overdue_checks_until = self.clock + OVERDUE_CHECK_TIME
         self.set_timer(self.clock + OVERDUE_CHECK_INTERVAL, (OVERDUE_CHECK, 0))
@@ -263,6 +264,7 @@
         self.router.txn_arrived(txn.ident, txn.rule_index, txn.obj, txn.part, txn.limit_at - self.clock, txn.kb, txn.group)
 
     def hold_at_gate(self, txn: Txn) -> None:
+        """Keeps the txn until the gate opens, or rejects it when it has waited as long as it may."""
         wait_end = self.gate.wait_until(self.clock, txn.limit_at, len(self.gated_txns))
         self.gated_txns[txn.ident] = txn
         if wait_end <= self.clock:
@@ -286,9 +288,9 @@
         """The server list is up to date, or as good as it gets: passes the waiting txns to the Router."""
         if self.gate is None:
             return
-        took = self.clock - self.gate.shut_at
+        closed_for = self.clock - self.gate.shut_at
         self.gate, gated_txns, self.gated_txns = None, self.gated_txns, {}
-        log.info("open", extra={"kv": {"why": reason, "took_ms": took // MS, "held": len(gated_txns)}})
+        log.info("open", extra={"kv": {"why": reason, "took_ms": closed_for // MS, "held": len(gated_txns)}})
         for txn in gated_txns.values():
             self.txn_arrived(txn)
 
@@ -305,29 +307,29 @@
         self.gated_txns.pop(ident, None)
         self.router.txn_withdrawn(ident)
 
-    def hop_ended(self, hop: Hop, result: str, took: int, reply: resp.Reply | None) -> None:
-        """Reports the end of a hop or a probe to the Router, with the time that it took (ns)."""
+    def hop_ended(self, hop: Hop, result: str, duration: int, reply: resp.Reply | None) -> None:
+        """Reports the end of a hop or a probe to the Router, with its duration (ns)."""
         load = reply.load if reply else None
         self.attempts[result] += 1
         if self.hops.pop((hop.ident, hop.number), None) is not None:
             self.timers.cancel(hop.cut_at, (hop.ident, hop.number))
         if hop.want is None:
-            return self.router.probe_ended(hop.server, result, took, load)
+            return self.router.probe_ended(hop.server, result, duration, load)
         final = result == "completed" or hop.ident not in self.open_txns.by_id
         if log.isEnabledFor(logging.DEBUG):
-            self.log_hop_end(hop, result, took, reply)
+            self.log_hop_end(hop, result, duration, reply)
         self.router.hop_ended(
             hop.ident,
             hop.number,
             result,
-            took,
+            duration,
             final,
             reply.note if reply else 0,
-            min(reply.queued_ns, took) if reply and reply.queued_ns is not None else None,
+            min(reply.queued_ns, duration) if reply and reply.queued_ns is not None else None,
             load,
         )
 
-    def log_hop_end(self, hop: Hop, result: str, took: int, reply: resp.Reply | None) -> None:
+    def log_hop_end(self, hop: Hop, result: str, duration: int, reply: resp.Reply | None) -> None:
         log.debug(
             "hop",
             extra={
@@ -342,7 +344,7 @@
                     "fetch": hop.want.fetch,
                     "result": result,
                     "note": reply.note if reply else 0,
-                    "took": took // MS,
+                    "took": duration // MS,
                     "wrote": (hop.written_at - hop.decided_at) // MS if hop.written_at else -1,
                 }
             },
@@ -495,8 +497,8 @@
         if connection is not None:
             self.outbox.append((connection, None, None))
 
-    def reject(self, ident, come_back) -> None:
-        self.answer(ident, Answer("rejected", come_back // MS))
+    def reject(self, ident, retry_after) -> None:
+        self.answer(ident, Answer("rejected", retry_after // MS))
 
     def abort(self, ident) -> None:
         self.answer(ident, Answer("aborted"))
