--- a/fieldspur/fleet/list_overlay.py
+++ b/fieldspur/fleet/list_overlay.py
@@ -147,21 +147,21 @@
 
     def measure_loads(self, callback: Callable) -> None:
         """Measures the loads of all servers and the rates of rejected and of all txns. Runs in the router host's thread."""
-        fleet: ServerPool = self.router_host.router.pool
+        pool: ServerPool = self.router_host.router.pool
         now = self.router_host.now()
         loads = {}
-        for index, server in enumerate([*fleet.caches, *fleet.parents][:MAX_LOADS]):
-            is_parent = index >= len(fleet.caches)
+        for index, server in enumerate([*pool.caches, *pool.parents][:MAX_LOADS]):
+            is_parent = index >= len(pool.caches)
             condition = (
                 SLOW_START
-                if fleet.in_slow_start(server, now)
+                if pool.in_slow_start(server, now)
                 else HEALTHY
-                if fleet.is_healthy(server, now) or now >= server.ejected_until
+                if pool.is_healthy(server, now) or now >= server.ejected_until
                 else EJECTED
             )
-            share = fleet.slow_start[is_parent][0]
+            share = pool.slow_start[is_parent][0]
             capacity = server.rating if is_parent else max(server.capacity / share, 0.01)
-            load = fleet.transfer_rate(server, now)
+            load = pool.transfer_rate(server, now)
             fills = load * SECOND / max(1.0, self.router_host.router.mean_transfer_time)
             loads[server.name] = [round_figure(capacity), round_figure(load), round_figure(fills), condition]
         counts, (rejected, finished, counted_at) = self.router_host.open_txns.counts, self.total_counts
--- a/tests/test_fleet_work.py
+++ b/tests/test_fleet_work.py
@@ -384,11 +384,12 @@
 
 
 def test_a_router_without_memory_does_not_serve_by_the_document_of_a_lagging_member_alone():
-    """Its life before had message that it goes by a later document; first acts, that can't hear it any more, counts on that."""
+    """The earlier process of the router had reported a later document as applied. The coordinator, which can no longer read the router,
+    relies on that report."""
     fleet = started_fleet(5, 6)
     first = fleet.coordinator_history[-1]
     lagging, other = [n for n in range(5) if n != first][:2]
-    fleet.cut = {(m, lagging) for m in range(5)}  # receives nothing from here on
+    fleet.cut = {(m, lagging) for m in range(5)}  # the lagging member receives nothing from here on
     fleet.run(500)
     fleet.request_work(first, "c0", needs=30.0)
     fleet.run(3000)
@@ -456,7 +457,7 @@
     lease.request(900)
     lease.renew(first)  # a grant that was delayed in a buffer
     assert lease.is_held(1099) and not lease.is_held(1100)
-    lease.renew(77)  # a count of an earlier process
+    lease.renew(77)  # a count that this process never published
     assert not lease.is_held(1100)
     lease.renew(2)
     assert lease.is_held(1899)
