--- a/tests/test_names_that_never_come_again.py
+++ b/tests/test_names_that_never_come_again.py
@@ -1,4 +1,4 @@
-"""Names of servers and objects that never come again: what is kept of them is bounded, and costs no more the more there were."""
+"""Server names that are listed once and never again: the state that a fleet stores of them is bounded, and so is its cost."""
 
 import time
 from types import SimpleNamespace
@@ -9,45 +9,46 @@
 from fieldspur.net.discovery import ListChange, ListedServer
 from fieldspur.site import deployment
 
-STANDING, GONE_KEPT = 20, 256
+LISTED_COUNT = 20  # servers that stay on the list
+MAX_GONE = 256  # servers that are gone and still known
 
 
-def overlay():
-    route = SimpleNamespace(site=deployment(settings()), told=[])
-    route.list_received = lambda change, now=False: route.told.append(change)
-    route.start_batch = route.finish_batch = lambda: None
-    return ServerListOverlay(route)
+def new_overlay():
+    router_host = SimpleNamespace(site=deployment(settings()), changes=[])
+    router_host.list_received = lambda change, now=False: router_host.changes.append(change)
+    router_host.start_batch = router_host.finish_batch = lambda: None
+    return ServerListOverlay(router_host)
 
 
 def listed(name, state="up"):
     return ListedServer(name, ("127.0.0.1", 7), "east", "std", 0, state, 50.0, 0)
 
 
-def renamed(found, count):
-    """A server goes and another comes, so many times."""
+def replace_servers(overlay, count):
+    """Lists `count` new servers, one after the other, and removes each of them again."""
     for n in range(count):
-        found.list_received(ListChange(False, (listed(f"fresh-{n}"),)))
-        found.list_received(ListChange(False, (listed(f"fresh-{n}", "gone"),)))
+        overlay.list_received(ListChange(False, (listed(f"fresh-{n}"),)))
+        overlay.list_received(ListChange(False, (listed(f"fresh-{n}", "gone"),)))
 
 
-def test_a_fleet_s_view_of_the_list_keeps_what_stands_and_few_of_those_that_are_gone():
-    """Each name that was ever listed was kept until the next complete list, and looked through with each change."""
-    found = overlay()
-    found.list_received(ListChange(True, tuple(listed(f"c{n}") for n in range(STANDING))))
-    found.withdraw(frozenset(("c1", "fresh-3")), frozenset())
-    renamed(found, 3000)
-    assert len(found.servers) <= STANDING + GONE_KEPT + 1 and set(found.listings) == set(found.servers)
-    assert {f"c{n}" for n in range(STANDING)} <= set(found.servers)
-    assert found.listings["fresh-3"].state == "gone"  # what is out for work is told from one that was never there
-    assert found.listings["fresh-2999"].state == "gone" and "fresh-4" not in found.servers
-    assert not found.returned_at
+def test_a_fleet_stores_all_listed_servers_and_a_bounded_number_of_gone_ones():
+    """Every name ever listed was stored until the next complete list, and each change went through all of them."""
+    overlay = new_overlay()
+    overlay.list_received(ListChange(True, tuple(listed(f"c{n}") for n in range(LISTED_COUNT))))
+    overlay.withdraw(frozenset(("c1", "fresh-3")), frozenset())
+    replace_servers(overlay, 3000)
+    assert len(overlay.servers) <= LISTED_COUNT + MAX_GONE + 1 and set(overlay.listings) == set(overlay.servers)
+    assert {f"c{n}" for n in range(LISTED_COUNT)} <= set(overlay.servers)
+    assert overlay.listings["fresh-3"].state == "gone"  # a server that is out for maintenance stays known
+    assert overlay.listings["fresh-2999"].state == "gone" and "fresh-4" not in overlay.servers
+    assert not overlay.returned_at
 
 
-def test_a_change_of_the_list_costs_a_fleet_the_same_however_many_names_came_before():
-    found, took = overlay(), []
+def test_a_list_change_costs_a_fleet_the_same_after_many_one_off_names():
+    overlay, durations = new_overlay(), []
     for _ in range(2):
-        began = time.perf_counter()
-        renamed(found, 300)
-        took.append(time.perf_counter() - began)
-        renamed(found, 4000)
-    assert took[1] < 5 * took[0]
+        started_at = time.perf_counter()
+        replace_servers(overlay, 300)
+        durations.append(time.perf_counter() - started_at)
+        replace_servers(overlay, 4000)
+    assert durations[1] < 5 * durations[0]
