--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -43,14 +43,14 @@
 
 # Waiting behind a leader.
 MAX_WAIT = 3 * SECOND  # the lock timeout of the source limits any wait
-MAX_WAITERS = 64  # for one part of an object
+MAX_WAITERS = 64  # txns that wait for one part of an object
 
 # Placement.
 CACHEABLE_RANK = 2  # rank of fills that leave a copy, above the lowest rank
 MAX_RANKINGS = 4096  # rendezvous rankings that are stored
 MIN_SHARE_FOR_OBJECT_HOMES = 0.25  # a router with a smaller share of its zone gives each part of an object its own home
 SPILL_UTILIZATION = 2.0  # utilization at which a home cache hands parts to other caches
-SPILL_UTILIZATION_FROM_HOME = 1.3  # the same where the other caches fill from the home cache
+SPILL_UTILIZATION_FROM_HOME = 1.3  # like SPILL_UTILIZATION, but where the other caches fill from the home cache
 SPILL_MAX_RATIO = 0.6  # a part moves only to a cache with at most this share of the home's utilization
 STALE_UTILIZATION_FACTOR = 1.15  # raises an observed utilization, which is seen with a delay
 
@@ -60,22 +60,22 @@
 
 # Admission.
 MIN_ADMITTED_UTILIZATION = 1.25  # utilization up to which any txn is admitted
-MAX_WORTH_UTILIZATION = 2.1  # the most that the worth of a txn adds to that
+MAX_WORTH_UTILIZATION = 2.1  # the most that the worth of a txn adds to MIN_ADMITTED_UTILIZATION
 LARGE_TXN_DEVIATIONS = 2.0  # mean deviations above the mean: about where the largest tenth of txns begins
 MIN_ANSWERED_RATIO = 0.8  # least answered share of the largest txns of a rule, as a multiple of the share of all its txns
 SIZE_BAND_STEP = 0.1  # weight of one sample in the answered share of the largest txns
 
 # Load of servers and of the link into the zone.
 INITIAL_CAPACITY = 4.0  # transfers at full pace that a server is assumed to take
-CAPACITY_STEP = 0.1  # weight of one sample
-MAX_CONNECTIONS_WHILE_BREAKING = 4
+CAPACITY_STEP = 0.1  # weight of one hit in the learned capacity
+MAX_CONNECTIONS_WHILE_BREAKING = 4  # to one server, for a while after a connection broke
 LATE_HOP_FILL_PROBABILITY = 0.8  # a hop that takes longer than a hit is probably being filled
-USUAL_FILL_WAIT = 100 * MS
+USUAL_FILL_WAIT = 100 * MS  # of a fill for its source
 RECOUNT_INTERVAL = MS // 4  # between two counts of fills, for each hop in flight
-MAX_LINK_UTILIZATION_RATIO = 0.7  # fills stop at this multiple of the utilization that a cache is admitted up to
-INITIAL_LINK_SHARE = 0.5  # fills that the link takes over transfers that the caches take, where settings do not say
+MAX_LINK_UTILIZATION_RATIO = 0.7  # highest link utilization for a fill, as a multiple of the highest cache utilization for its txn
+INITIAL_LINK_SHARE = 0.5  # assumed link capacity, as a share of the capacity of the zone's caches
 UTILIZATION_DECAY = 4 * SECOND  # time constant with which observed utilization is forgotten
-LINK_REPORT_LIFETIME = 1500 * MS
+LINK_REPORT_LIFETIME = 1500 * MS  # how long a load report of the link is used
 BUSY_UTILIZATION = 0.85  # reported utilization above which the report says little: it can't exceed 1
 MEAN_UTILIZATION_STEP = 0.15  # weight of one cache's utilization in the mean of all caches
 UTILIZATION_STEP = 0.4  # weight of one hit's pace in the utilization of its cache
@@ -85,36 +85,36 @@
 # Ejection of failing servers.
 ERROR_STEP = 0.1  # weight of one result in the error rate
 CONCLUSIVE_ERROR_STEP = 0.6  # weight of a result that proves that the server is down
-EJECT_ERROR_RATE = 0.5
+EJECT_ERROR_RATE = 0.5  # error rate above which a server is ejected
 EJECT_PEER_MULTIPLE = 2.0  # a server is ejected only with this multiple of its peers' median error rate
 FIRST_EJECTION = 1 * SECOND  # doubles with each further ejection
 MAX_EJECTION = 8 * SECOND
 
 # Silence of servers and sources.
-MIN_SILENCE = 300 * MS
-SILENCE_MULTIPLE = 1.5  # of the expected time
-FEW_HOPS_SILENCE_MULTIPLE = 12.0  # of the expected time, divided by the hops in flight, for a router that sees little traffic
-ONLY_HOP_MULTIPLE = 2.0  # a single hop in flight may stay silent for longer
+MIN_SILENCE = 300 * MS  # a server may always stay silent for this time
+SILENCE_MULTIPLE = 1.5  # a server may stay silent for this multiple of the expected time
+FEW_HOPS_SILENCE_MULTIPLE = 12.0  # the same multiple for a router that sees little traffic, divided by the hops in flight
+ONLY_HOP_MULTIPLE = 2.0  # a server with a single hop in flight may stay silent for this multiple of the usual limit
 UNSIZED_DEVIATIONS = 6.0  # mean deviations of the transfer time that are allowed where sizes are unknown
 LATE_FILL_STEP = 0.2  # weight of a late fill in the mean wait for a first byte
 MIN_LATE_FILLS = 2  # a source is ejected for silence only with so many late fills
 MIN_MISSED_FILLS = 5  # and only after so many fills from its peers came meanwhile
 
 # The origin.
-ORIGIN_ERROR_STEP = 0.2  # weight of one result
+ORIGIN_ERROR_STEP = 0.2  # weight of one result in the origin's error rate
 ORIGIN_FAILING_RATE = 0.35  # error rate from which the origin counts as failing
 MIN_ORIGIN_TRY_SHARE = 0.2  # least share of fills that may ask a failing origin
-SLOW_ORIGIN_MULTIPLE = 3.0  # of its usual wait
+SLOW_ORIGIN_MULTIPLE = 3.0  # a wait for the origin above this multiple of the usual wait counts as slow
 
 # Retries.
-RETRIES_PER_TXN = 0.3
-MAX_SAVED_RETRIES = 20.0
-MAX_ERRORS_PER_TXN = 3
+RETRIES_PER_TXN = 0.3  # that each arriving txn adds to the saved retries
+MAX_SAVED_RETRIES = 20.0  # that a router may save up
+MAX_ERRORS_PER_TXN = 3  # after so many errors a txn is given up
 
 # Learned averages.
 INITIAL_TRANSFER_TIME = 400 * MS
 INITIAL_FIRST_BYTE_WAIT = 80 * MS
-LEARNING_STEP = 0.05  # weight of one sample
+LEARNING_STEP = 0.05  # weight of one sample in a learned average
 
 MAX_PURGES = 50_000  # that are stored one by one
 
@@ -128,9 +128,9 @@
     state: str = "gone"
     started: int = 0  # start of the server's process, 0 where it is unknown
     zone: int = 0
-    rating: float = 1.0
-    kind: int = 0
-    cell: int = 0
+    rating: float = 1.0  # relative size, or the transfers that it takes at full pace where ratings are nominal
+    kind: int = 0  # number of its kind: cache, parent or origin
+    cell: int = 0  # number of its cell, a possible scope of deduplication
     in_flight: dict = default_factory(dict)  # hops to this server, oldest first
     sourced_hops: dict = default_factory(dict)  # hops to other servers that name this one as their source
     fill_estimate: tuple = (0.0, 0)  # how many hops in flight are being filled, and when that was last recounted
@@ -178,7 +178,7 @@
     rule: RemapRule
     rule_index: int
     obj: str
-    part: int
+    part: int  # number of a part of the object
     group: int  # purge group
     transfer_time: int
     size_known: bool
@@ -335,20 +335,22 @@
             self.own_link_capacity = INITIAL_LINK_SHARE * sum(
                 server.capacity for server in self.servers.values() if server.zone == self.zone
             )
-        present = sorted([server for server in self.servers.values() if server.state != "gone"], key=BY_NAME)
-        if len(present) < len(self.servers):
+        present_servers = sorted([server for server in self.servers.values() if server.state != "gone"], key=BY_NAME)
+        if len(present_servers) < len(self.servers):
             self.servers = {
                 name: server for name, server in self.servers.items() if server.state != "gone" or server.in_flight or server.sourced_hops
             }
-        ranking_inputs = list(map(RANKING_INPUTS, present))
+        ranking_inputs = list(map(RANKING_INPUTS, present_servers))
         if ranking_inputs == self.ranking_inputs:  # changed states and restarts do not change the rankings
             return
         self.ranking_inputs = ranking_inputs
         self.rankings.clear()
-        self.parents = [server for server in present if server.kind == self.parent_kind]
-        self.origin = next((server for server in present if server.kind == self.origin_kind), None)
+        self.parents = [server for server in present_servers if server.kind == self.parent_kind]
+        self.origin = next((server for server in present_servers if server.kind == self.origin_kind), None)
         self.caches = [
-            server for server in present if server.zone == self.zone and server.kind != self.parent_kind and server is not self.origin
+            server
+            for server in present_servers
+            if server.zone == self.zone and server.kind != self.parent_kind and server is not self.origin
         ]
 
     def rank_servers(self, servers: list[Server], key: str) -> list[Server]:
@@ -357,8 +359,8 @@
         def score(server: Server) -> float:
             digest = server.name_hash.copy()
             digest.update(key_bytes)
-            size = max(server.rating, 0.01) if self.rating_trust else 1.0
-            return math.log((int.from_bytes(digest.digest(), "big") + 1) / 2.0**64) / size
+            weight = max(server.rating, 0.01) if self.rating_trust else 1.0
+            return math.log((int.from_bytes(digest.digest(), "big") + 1) / 2.0**64) / weight
 
         if len(servers) < 2:
             return servers
@@ -399,7 +401,7 @@
         window that began before this process is not spent again, because the previous process may have spent it."""
         if not self.in_slow_start(server, now) or server.kind == self.origin_kind:
             return True
-        share, start, ramp, multiple = self.slow_start[server.kind == self.parent_kind]
+        share, start_share, ramp_time, overload_multiple = self.slow_start[server.kind == self.parent_kind]
         window = max(0, now - server.started) // self.budget_window
         if server.token_window != window:
             own_rate = server.rating * self.rating_trust * share
@@ -407,7 +409,9 @@
                 rates = [self.transfer_rate(peer, now) for peer in self.peers(server) if not self.in_slow_start(peer, now)]
                 own_rate = max(MIN_SLOW_START_RATE, sum(rates) / len(rates) if rates else 0.0)
             allowed_rate = (
-                own_rate * (start + (1 - start) * window * self.budget_window / ramp) * min(multiple * SLOW_START_BUDGET_SHARE, 1.0)
+                own_rate
+                * (start_share + (1 - start_share) * window * self.budget_window / ramp_time)
+                * min(overload_multiple * SLOW_START_BUDGET_SHARE, 1.0)
             )
             whole_txns, fraction = divmod(allowed_rate * self.budget_window / charge, 1.0)
             server.tokens, server.token_window = charge * (whole_txns + (self.random.random() < fraction)), window
@@ -436,15 +440,15 @@
         )
         if not (failed or server.ejected_until):
             return
-        limit = max(EJECT_ERROR_RATE, EJECT_PEER_MULTIPLE * median([peer.error_rate for peer in self.peers(server)] or [1.0]))
-        if failed and server.error_rate > limit and now >= server.ejected_until:
+        eject_above = max(EJECT_ERROR_RATE, EJECT_PEER_MULTIPLE * median([peer.error_rate for peer in self.peers(server)] or [1.0]))
+        if failed and server.error_rate > eject_above and now >= server.ejected_until:
             self.eject(server, now, "failures")
         elif not failed and server.ejected_until:  # a server as good as its peers returns to service
-            server.ejected_until = 0 if server.error_rate < limit / 2 else now
+            server.ejected_until = 0 if server.error_rate < eject_above / 2 else now
 
-    def learn_capacity(self, server: Server, transfer_time: int, took: int, in_flight: float) -> None:
+    def learn_capacity(self, server: Server, transfer_time: int, duration: int, in_flight: float) -> None:
         """Learn from a hit how many transfers a server takes: the number in flight times the share of full pace that each one had."""
-        pace = transfer_time / max(transfer_time, took - 20 * MS)
+        pace = transfer_time / max(transfer_time, duration - 20 * MS)
         if self.cache_share >= MIN_SHARE_FOR_OBJECT_HOMES and (in_flight >= 1.5 if pace < 0.85 else in_flight > server.capacity):
             server.capacity = max(0.5, server.capacity + (in_flight * pace - server.capacity) * CAPACITY_STEP)
 
@@ -460,8 +464,8 @@
         """How many hops in flight are being filled. The more hops are in flight, the less often they are recounted."""
         if now - server.fill_estimate[1] >= RECOUNT_INTERVAL * len(server.in_flight):
             for hop in server.in_flight.values():
-                late = hop.fill_probability and now - hop.sent > 1.2 * self.expected_hit_time(hop, now)
-                hop.counted_fill = LATE_HOP_FILL_PROBABILITY if late else hop.fill_probability
+                is_late = hop.fill_probability and now - hop.sent > 1.2 * self.expected_hit_time(hop, now)
+                hop.counted_fill = LATE_HOP_FILL_PROBABILITY if is_late else hop.fill_probability
             server.fill_estimate = (sum(hop.counted_fill for hop in server.in_flight.values()) if server.in_flight else 0.0, now)
         return server.fill_estimate[0]
 
@@ -474,8 +478,10 @@
 
     def total_utilization(self, own_transfers: float, capacity: float) -> float:
         """Utilization by all routers, estimated from this router's own transfers, less the excess that chance may have caused."""
-        chance = (1 - self.cache_share) * math.sqrt(max(own_transfers, 0.0)) if self.cache_share < MIN_SHARE_FOR_OBJECT_HOMES else 0.0
-        return (own_transfers - chance) / max(capacity, self.cache_share)
+        chance_excess = (
+            (1 - self.cache_share) * math.sqrt(max(own_transfers, 0.0)) if self.cache_share < MIN_SHARE_FOR_OBJECT_HOMES else 0.0
+        )
+        return (own_transfers - chance_excess) / max(capacity, self.cache_share)
 
     def recent_utilization(self, server: Server, now: int) -> float:
         """Utilization of a cache as last observed. The older the observation, the more the mean of the zone's caches replaces it."""
@@ -524,22 +530,24 @@
                     max_utilization, SPILL_UTILIZATION_FROM_HOME
                 ):
                     return home
-        link = self.link_utilization(now, 0)
-        usable = [
+        link_load = self.link_utilization(now, 0)
+        usable_servers = [
             server
             for server in ranking
             if server.state == "up" and (allowed is None or allowed(server)) and self.has_budget(server, now, charge)
         ]
         candidates = (
-            [server for server in usable if server.name not in avoided and self.is_healthy(server, now)]
-            or [server for server in usable if server.name not in avoided]
-            or usable
+            [server for server in usable_servers if server.name not in avoided and self.is_healthy(server, now)]
+            or [server for server in usable_servers if server.name not in avoided]
+            or usable_servers
         )
         if not candidates:
             return None
 
         def utilization(server: Server) -> float:
-            idle = self.estimate_fills(server, now) * max(1 - 1 / max(1.0, link), self.fill_wait_share)  # fills that wait for their source
+            idle = self.estimate_fills(server, now) * max(
+                1 - 1 / max(1.0, link_load), self.fill_wait_share
+            )  # fills that wait for their source
             return max(
                 self.total_utilization(len(server.in_flight) + 1 - idle, server.capacity),
                 STALE_UTILIZATION_FACTOR * self.recent_utilization(server, now),
@@ -549,13 +557,17 @@
             return preferred  # the leader's fill there can be joined
         home_utilization = utilization(candidates[0])
         if home_utilization <= (
-            SPILL_UTILIZATION_FROM_HOME if self.siblings else max(SPILL_UTILIZATION, max_utilization) if link > 1 else SPILL_UTILIZATION
+            SPILL_UTILIZATION_FROM_HOME
+            if self.siblings
+            else max(SPILL_UTILIZATION, max_utilization)
+            if link_load > 1
+            else SPILL_UTILIZATION
         ):
             return candidates[0] if home_utilization <= max(max_utilization, 1.0) else None
         # The home of a hot object is overloaded: its parts move to other caches, in the same way at all routers.
         part_ranking = [server for server in self.rank_servers(self.caches, f"{obj}#{part}#") if server in candidates]
-        best = next((server for server in part_ranking if utilization(server) <= SPILL_MAX_RATIO * home_utilization), candidates[0])
-        return best if utilization(best) <= max(max_utilization, 1.0) else None
+        best_cache = next((server for server in part_ranking if utilization(server) <= SPILL_MAX_RATIO * home_utilization), candidates[0])
+        return best_cache if utilization(best_cache) <= max(max_utilization, 1.0) else None
 
     def choose_source(self, obj, now, charge, avoided) -> Server | None:
         """The first parent in the ranking for the object, the second while the first fails, and the origin after them."""
@@ -570,12 +582,12 @@
             return ranking[0]  # fast path with the same outcome as below
         if not ranking and self.origin is not None:
             return self.origin if self.origin.state == "up" else None
-        usable = [
+        usable_servers = [
             server for server in ranking if server.state == "up" and server.name not in avoided and self.has_budget(server, now, charge)
         ]
-        healthy = [server for server in usable if self.is_healthy(server, now)]
+        healthy_servers = [server for server in usable_servers if self.is_healthy(server, now)]
         origin = [self.origin] if self.origin and self.origin.state == "up" else []
-        return next(iter(healthy or origin or usable), None)
+        return next(iter(healthy_servers or origin or usable_servers), None)
 
 
 class Router:
@@ -773,8 +785,8 @@
     def tolerable_utilization(self, txn: Txn, now: int) -> float:
         """The utilization at which a large txn of this rule still ends by the deadline. Guards large txns of unknown size against running
         out of time on their only hop."""
-        large = self.rule_transfer_times[txn.rule_index] + LARGE_TXN_DEVIATIONS * self.rule_deviations[txn.rule_index]
-        return max(1.0, (txn.deadline - now - self.first_byte_wait) / max(large, MS))
+        large_transfer_time = self.rule_transfer_times[txn.rule_index] + LARGE_TXN_DEVIATIONS * self.rule_deviations[txn.rule_index]
+        return max(1.0, (txn.deadline - now - self.first_byte_wait) / max(large_transfer_time, MS))
 
     def may_send(self, txn: Txn, server: Server, now: int) -> bool:
         """Whether a further hop to the server can't make the txn take effect twice."""
@@ -824,10 +836,10 @@
     # Results of hops.
 
     def hop_ended(
-        self, ident: int, number: int, result: str, took: int, final: bool, note: int, waited: int | None, load: dict | None
+        self, ident: int, number: int, result: str, duration: int, final: bool, note: int, source_wait: int | None, load: dict | None
     ) -> None:
         """A hop ended with a result of host.RESULTS. `final`: the txn has its final answer, or must not be sent again. `note`: how the hop
-        was served, as a constant of host.py. `waited`: how long a fill waited for its source, where the answer says so."""
+        was served, as a constant of host.py. `source_wait`: how long a fill waited for its source, where the answer says so."""
         txn, now = self.txns.get(ident), self.host.now()
         if txn is None or number >= len(txn.hops) or not txn.hops[number].in_flight:
             return
@@ -839,7 +851,7 @@
         self.pool.add_fills(hop.server, -hop.counted_fill)
         if hop.source is not None:
             hop.source.sourced_hops.pop((ident, number), None)
-        self.learn(txn, hop, result, took, note, waited, now)
+        self.learn(txn, hop, result, duration, note, source_wait, now)
         self.pool.load_reported(hop.server, load, now)
         if txn.ended:
             self.txns.pop(ident, None)
@@ -859,7 +871,7 @@
             self.saved_retries -= result not in CONNECTION_FAILURES  # guards against retries that multiply an overload
             self.send_next_hop(txn)
 
-    def learn(self, txn: Txn, hop: Hop, result: str, took: int, note: int, waited, now: int) -> None:
+    def learn(self, txn: Txn, hop: Hop, result: str, duration: int, note: int, source_wait, now: int) -> None:
         """Update health, load and averages with a hop's result: it counts for or against the cache, the source, both or neither."""
         server, source = hop.server, hop.source
         if result in ("completed", "error", "full", "missing"):
@@ -874,7 +886,7 @@
                 source.tokens += hop.source_charge  # the source was not asked
         origin_hung = result == "timed_out" and hop.fill_probability > 0 and self.pool.recent_mean_utilization(now) < SPILL_UTILIZATION
         if self.pool.origin is not None and (origin_hung or note in (FILLED_BY_ORIGIN, ORIGIN_FAILED)):
-            failed = note != FILLED_BY_ORIGIN or self.pool.is_origin_slow(waited or 0)
+            failed = note != FILLED_BY_ORIGIN or self.pool.is_origin_slow(source_wait or 0)
             self.pool.origin.error_rate += (failed - self.pool.origin.error_rate) * ORIGIN_ERROR_STEP
         txn.unfillable |= result == "missing" and (source is server or not hop.fetch)
         if result == "completed":
@@ -897,13 +909,15 @@
                     and self.pool.link_utilization(now, 0) < MAX_LINK_UTILIZATION_RATIO
                 )
             ):
-                slowdown = (took - (20 * MS if note == HIT else 2 * USUAL_FILL_WAIT)) / hop.transfer_time
+                slowdown = (duration - (20 * MS if note == HIT else 2 * USUAL_FILL_WAIT)) / hop.transfer_time
                 self.pool.record_utilization(
                     server, max(0.0, utilization + (max(slowdown, min(utilization, 1.0)) - utilization) * UTILIZATION_STEP), now
                 )
-                self.pool.learn_capacity(server, hop.transfer_time, took, in_flight)
+                self.pool.learn_capacity(server, hop.transfer_time, duration, in_flight)
             elif not txn.size_known and (note == HIT or self.without_notes and self.learns_without_notes()):
-                full_pace_time = max(0, took - 20 * MS) * min(1.0, server.capacity / in_flight)  # without the slowdown by other transfers
+                full_pace_time = max(0, duration - 20 * MS) * min(
+                    1.0, server.capacity / in_flight
+                )  # without the slowdown by other transfers
                 deviation = full_pace_time - self.rule_transfer_times[txn.rule_index]
                 self.rule_transfer_times[txn.rule_index] += deviation * LEARNING_STEP
                 self.rule_deviations[txn.rule_index] += (abs(deviation) - self.rule_deviations[txn.rule_index]) * LEARNING_STEP
@@ -912,8 +926,8 @@
             if note in FILL_NOTES and source is not None:
                 self.pool.count_transfer(source, txn.transfer_time, now)
                 self.pool.count_result(source, 0.0, now)
-                wait = waited if waited is not None else max(0, took - txn.transfer_time)
-                self.pool.fill_wait_share += ((waited or 0) / max(took, 1) - self.pool.fill_wait_share) * LEARNING_STEP
+                wait = source_wait if source_wait is not None else max(0, duration - txn.transfer_time)
+                self.pool.fill_wait_share += ((source_wait or 0) / max(duration, 1) - self.pool.fill_wait_share) * LEARNING_STEP
                 deviation = min(wait - self.first_byte_wait, 5 * self.first_byte_wait)
                 self.first_byte_wait += deviation * LEARNING_STEP
                 self.first_byte_deviation += (abs(deviation) - self.first_byte_deviation) * LEARNING_STEP
@@ -959,13 +973,13 @@
         if now - max(server.last_answer_at, hop.sent) >= self.silence_limit(hop, now, len(server.in_flight)):
             if self.pool.cache_share < MIN_SHARE_FOR_OBJECT_HOMES and (hop.fill_probability or self.txns[hop.txn_ident].rule.uncacheable):
                 # Learning from fills that come in time alone would never show that a source is slow.
-                late = max(0, now - hop.sent - hop.transfer_time - self.first_byte_wait)
-                self.first_byte_wait += late * LATE_FILL_STEP
+                lateness = max(0, now - hop.sent - hop.transfer_time - self.first_byte_wait)
+                self.first_byte_wait += lateness * LATE_FILL_STEP
             if now >= server.ejected_until:
                 self.pool.eject(server, now, "silent")
-            for other in list(server.in_flight.values()):
-                if now - other.sent > MIN_SILENCE:
-                    self.cancel_hop(other)
+            for other_hop in list(server.in_flight.values()):
+                if now - other_hop.sent > MIN_SILENCE:
+                    self.cancel_hop(other_hop)
             return
         if source in self.pool.parents:
             if (
@@ -973,8 +987,8 @@
                 and not source.ejected_until
                 and MIN_LATE_FILLS
                 <= sum(
-                    now - max(waiting.sent, source.last_answer_at) >= self.silence_limit(waiting, now, len(source.sourced_hops))
-                    for waiting in source.sourced_hops.values()
+                    now - max(waiting_hop.sent, source.last_answer_at) >= self.silence_limit(waiting_hop, now, len(source.sourced_hops))
+                    for waiting_hop in source.sourced_hops.values()
                 )
             ):
                 self.pool.eject(source, now, "its fills do not come")
@@ -1006,7 +1020,7 @@
         """A purge of one object, or of a group where `obj` is None, that was issued `age` ns ago."""
         self.purges.add(self.host.now(), obj, group, age)
 
-    def probe_ended(self, server: str, result: str, took: int, load: dict | None) -> None:
+    def probe_ended(self, server: str, result: str, duration: int, load: dict | None) -> None:
         self.pool.load_reported(self.pool.servers.get(server), load, self.host.now())
 
     def call_at(self, when: int, function, *arguments) -> int:
