--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -631,7 +631,7 @@
     """Open txns of a test that is not about clients: each hop's txn has just been taken, and stands."""
 
     def get(self, ident, _=None):
-        return super().get(ident) or SimpleNamespace(taken=clock())
+        return super().get(ident) or SimpleNamespace(taken_at=clock())
 
 
 def readers_held(monkeypatch):
