--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -90,7 +90,7 @@
             except OSError as wrong:
                 raise BadFile(f"fleet.members.{node.name}: {wrong.strerror}") from None
         self.pause = self.pause_began = 0.0
-        self.longest = max((rule.limit for rule in site.rules), default=0) / 1e9
+        self.longest = max((rule.time_limit for rule in site.rules), default=0) / 1e9
 
     def start(self) -> None:
         # Guards against routing on the file's list while the board holds drains that it lacks: found on herd+mass,
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -113,7 +113,7 @@
         self.unreadable_reason = ""  # why the store can't be read yet: until it can, this member does not know what it has promised
         stored = self.load_at_start()
         site, bounds = overlay.site, settings.bounds
-        max_time_limit = max((rule.limit for rule in site.rules), default=0)
+        max_time_limit = max((rule.time_limit for rule in site.rules), default=0)
         self.coordinator = Coordinator(
             self.voter_names,
             own_name,
--- a/fieldspur/net/admission.py
+++ b/fieldspur/net/admission.py
@@ -33,7 +33,7 @@
         self.retry_after_ms = site.router_options["max_retry_after"] // MS
         self.refusals = ReasonCounter(Refusal)  # requests that were rejected here, by reason
         self.latest_deadline = NEVER  # caps the deadline of every txn, because an ending program is killed shortly after this time
-        self.time_limits = [rule.limit for rule in site.rules]
+        self.time_limits = [rule.time_limit for rule in site.rules]
         # By rule name: the rule's index, and whether the rule is keyed.
         self.rules = {name: (index, site.rules[index].kind == "keyed") for index, name in enumerate(site.rule_names)}
 
