--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -100,24 +100,24 @@
     """The settings of all routers of a location. Durations are nanoseconds."""
 
     rules: list[RemapRule]
-    rule_names: list[str]
-    zones: list[str]
-    kinds: list[str]
+    rule_names: list[str]  # in the order of `rules`
+    zones: list[str]  # names, by zone number
+    kinds: list[str]  # names of server kinds, by number
     columns: list[str]  # of a load report, as the decision module names them
     pool_options: dict  # arguments of ServerPool
     router_options: dict  # arguments of Router, besides its parts
     purge_lifetime: int  # after this time no server has a copy older than a purge
     connect_timeout: int
     idle_timeout: int
-    max_hops_per_connection: int
+    max_hops_per_connection: int  # in flight at a time
     max_open_txns: int
 
 
 def deployment(value, path: str = "settings") -> Deployment:
     """Check the `settings` object, whose keys stay as they are in the file."""
-    conf = Section(value, path)
-    info, guarantees, allowed = conf.section("familyInfo"), conf.section("guarantees"), conf.section("allowed")
-    classes = conf.sections("classes")
+    settings = Section(value, path)
+    info, guarantees, allowed = settings.section("familyInfo"), settings.section("guarantees"), settings.section("allowed")
+    classes = settings.sections("classes")
     uncacheable = info.typed_list("neverKept", (bool, int), "flags", len(classes))
     fresh_times = info.typed_list("goodForUs", int, "times", len(classes))
     grace_times = info.typed_list("olderByUs", int, "times", len(classes))
@@ -139,20 +139,24 @@
         )
         for index, rule_class in enumerate(classes)
     ]
-    zone, routers_by_zone = conf.integer("zone"), info.typed_list("countByZone", int, "counts")
+    zone, routers_by_zone = settings.integer("zone"), info.typed_list("countByZone", int, "counts")
     link_rates = info.typed_list("pipeKbPerS", (int, float), "paces")
     if zone >= min(len(routers_by_zone), len(link_rates)):
-        raise ConfigError(f"{conf.path_of('zone')}: not within familyInfo.countByZone and pipeKbPerS")
+        raise ConfigError(f"{settings.path_of('zone')}: not within familyInfo.countByZone and pipeKbPerS")
     client_rate = info.number("clientKbPerS")
     pool_options = dict(
         zone=zone,
         parent_kind=info.integer("upperKind", minimum=-1),
         origin_kind=info.integer("rootKind"),
-        rating_quality=conf.text("weights"),
+        rating_quality=settings.text("weights"),
         cache_share=1 / max(1, routers_by_zone[zone]),
-        parent_share=1 / max(1, conf.integer("replicasOfMe")),
+        parent_share=1 / max(1, settings.integer("replicasOfMe")),
         cache_slow_start=(guarantees.number("coldFrom"), guarantees.integer("rampTimeUs") * US, guarantees.number("fallMultiple")),
-        parent_slow_start=(info.number("upperColdFrom"), info.integer("parentRampUs") * US, info.number("upperFallMultiple")),
+        parent_slow_start=(
+            info.number("upperColdFrom"),
+            info.integer("parentRampUs") * US,
+            info.number("upperFallMultiple"),
+        ),
         budget_window=guarantees.integer("overloadForUs", minimum=1) * US,
         link_capacity=link_rates[zone] / max(1.0, client_rate),
         siblings=info.text("siblings") != "none",
@@ -165,14 +169,14 @@
         may_cancel=allowed.boolean("cancel"),
         max_retry_after=allowed.integer("maxRetryAfterUs") * US if allowed.boolean("retryAfter") else 0,
         without_notes=info.choice("says", {"all": False, "hit": False, "none": True}, "all"),
-        watch_only=conf.choice("shape", {"as-told": False, "watch": True}, "as-told"),
+        watch_only=settings.choice("shape", {"as-told": False, "watch": True}, "as-told"),
     )
     return Deployment(
         rules,
         [rule_class.text("name", "") for rule_class in classes],
-        conf.typed_list("areas", str, "names"),
-        conf.typed_list("kinds", str, "names"),
-        [LOAD_NAMES.get(column, column) for column in conf.section("report").typed_list("columns", str, "names")],
+        settings.typed_list("areas", str, "names"),
+        settings.typed_list("kinds", str, "names"),
+        [LOAD_NAMES.get(column, column) for column in settings.section("report").typed_list("columns", str, "names")],
         pool_options,
         router_options,
         info.integer("goneEverywhereUs") * US,
@@ -196,8 +200,8 @@
     listen: tuple[str, int]
     discovery_address: tuple[str, int]
     seed: int
-    sockets: int
-    memory: int  # bytes
+    sockets: int  # limit of descriptors
+    memory: int  # limit in bytes
     known_revision: int  # number of the last event in `known_events`
     known_events: list  # discovery's events up to the start, as they are in the file
     debug: bool  # log each hop
@@ -224,27 +228,27 @@
         raise ConfigError("LB_CONFIG: missing")
     try:
         with open(config_path, "rb") as file:
-            conf = Section(json.load(file))
+            config = Section(json.load(file))
     except OSError as error:
         raise UnreadableConfig(f"LB_CONFIG: {error.strerror}", error.errno) from None
     except (ValueError, RecursionError):
         raise ConfigError("LB_CONFIG: the file is not JSON") from None
-    name = environ.get("LB_NAME") or conf.text("name")
+    name = environ.get("LB_NAME") or config.text("name")
     listen = environ.get("LB_LISTEN")
-    limits, known = conf.section("limits"), conf.section("known")
+    limits, known = config.section("limits"), config.section("known")
     try:
-        seed = int(conf.text("seed"), 16)
+        seed = int(config.text("seed"), 16)
     except ValueError:
         raise ConfigError("seed: not a hexadecimal number") from None
     return Node(
         name,
-        parse_address(listen, "LB_LISTEN") if listen else parse_address(conf.text("listen"), "listen"),
-        parse_address(conf.text("board"), "board"),
+        parse_address(listen, "LB_LISTEN") if listen else parse_address(config.text("listen"), "listen"),
+        parse_address(config.text("board"), "board"),
         seed,
         limits.integer("sockets", minimum=24),
         limits.integer("memory_mb", minimum=16) << 20,
         known.integer("rev"),
         known.typed_value("notices", list, "a list"),
         environ.get("LB_LOG") == "debug",
-        deployment(conf.typed_value("settings", dict, "an object")),
+        deployment(config.typed_value("settings", dict, "an object")),
     )
