--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -434,7 +434,7 @@
         return io.BufferedReader(Slow(), 512)
 
 
-class Notices(Listener):
+class DiscoveryStub(Listener):
     """The notice board: `tell` adds an event; who watches gets all later than it has, then what comes."""
 
     def __init__(self, wait=0.0, numbers=True):
@@ -540,7 +540,7 @@
     """The program as a process, with one cache `c0`, a parent, an origin and a board that stand in."""
 
     def __init__(self, folder, caches, notices=None, operators=None, env=None, **conf):
-        self.board, self.folder = notices or Notices(), folder
+        self.board, self.folder = notices or DiscoveryStub(), folder
         host = "127.%d.%d.1" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # tests beside these have theirs
         with socket.create_server((host, 0)) as free:
             self.address = "%s:%d" % free.getsockname()
--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -6,7 +6,7 @@
 import socket
 import time
 
-from helpers import Cache, Link, Notices, Service, SettableClock, settings, until
+from helpers import Cache, Link, DiscoveryStub, Service, SettableClock, settings, until
 
 from fieldspur.bench.path import free_port
 from fieldspur.fleet import register_codec, work_orders
@@ -29,7 +29,7 @@
         self.ports = [free_port(HOST) for _ in range(count)]
         self.links = {(a, b): Link((HOST, self.ports[b])) for a in range(count) for b in range(count) if a != b}
         self.clocks = [SettableClock(folder / f"clock{n}") for n in range(count)]
-        self.caches, self.discovery = [Cache() for _ in range(caches)], Notices()
+        self.caches, self.discovery = [Cache() for _ in range(caches)], DiscoveryStub()
         self.services = [self.start(n) for n in range(count)]
         self.replaced_services = []
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 from helpers import (
     Cache,
     Client,
-    Notices,
+    DiscoveryStub,
     Referee,
     SettableClock,
     Stalled,
@@ -606,7 +606,7 @@
 
 
 def test_sigterm_during_the_start_ends_the_program_before_it_is_ready(run):
-    service = run(Cache(), notices=Notices(wait=60), operators={"start": {"board_wait_s": 5}})
+    service = run(Cache(), notices=DiscoveryStub(wait=60), operators={"start": {"board_wait_s": 5}})
     client = service.early()
     client.send(80, 1 << 30, b"\0")
     # The router replies that it is not ready. It has accepted the connection by then: one in the backlog would get no notice.
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,7 +11,7 @@
 
 import known_red
 import pytest
-from helpers import Cache, Notices, SettableClock, clock, pause, sender, until
+from helpers import Cache, DiscoveryStub, SettableClock, clock, pause, sender, until
 from test_crossings import connect_client, make_listener, open_txn_with_hop, staying_client_writer
 from test_first_bytes import listed_server, make_router_host
 
@@ -268,7 +268,7 @@
 
 
 def test_a_configuration_that_can_not_be_opened_for_a_moment_is_reloaded_after_it(run):
-    other_discovery = Notices()
+    other_discovery = DiscoveryStub()
     service = run(Cache())
     _client = service.client()
     until(lambda: service.board.watched)
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from helpers import Cache, Listener, Notices, Stalled, clock, endpoint, readers_held, sender, until
+from helpers import Cache, Listener, DiscoveryStub, Stalled, clock, endpoint, readers_held, sender, until
 from test_path import enqueue_and_write, make_want
 
 from fieldspur.net import resp
@@ -31,7 +31,7 @@
 def test_txns_before_the_first_discovery_event_never_use_the_list_of_the_file(run, wait):
     """Found on herd+mass: 43 of 134 restarted routers wrote hops before they had asked discovery, 13 of them to a drained server."""
     drained, other = Cache(), Cache()
-    discovery = Notices(wait)
+    discovery = DiscoveryStub(wait)
     discovery.tell(2, pool={"index": 2, "snapshot": False, "endpoints": [endpoint("c0", drained.address, status="draining")]})
     service = run(drained, other, notices=discovery)
     clients = [service.early() for _ in range(4)]
@@ -47,7 +47,7 @@
 def test_a_start_does_not_wait_for_a_bare_number_after_the_past_events(run):
     """Found on herd+mass: the bare number after the past events comes up to a second later, and 46 of 336 starts waited for it."""
     drained, other = Cache(), Cache()
-    discovery = Notices(numbers=False)
+    discovery = DiscoveryStub(numbers=False)
     discovery.tell(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
     client = run(drained, other, notices=discovery, operators={"start": {"board_wait_s": 15.0}}).early()
     client.ask(1)
@@ -56,7 +56,7 @@
 
 def test_without_discovery_a_start_uses_its_file_after_the_configured_wait_and_answers_in_time(run):
     """Txns with little time are rejected when their share of the wait is over, not at their time limit."""
-    cache, discovery = Cache(), Notices(60)
+    cache, discovery = Cache(), DiscoveryStub(60)
     service = run(cache, notices=discovery, operators={"start": {"board_wait_s": 1.0, "most_waiting": 3}})
     client = service.early()
     began = time.monotonic()
@@ -75,7 +75,7 @@
 
 
 def test_a_txn_withdrawn_at_the_gate_is_forgotten_and_the_router_reports_not_ready(run):
-    cache, discovery = Cache(), Notices(0.8)
+    cache, discovery = Cache(), DiscoveryStub(0.8)
     client = run(cache, notices=discovery).early()
     client.send(80, 99, b"\0")
     assert client.get()[2] != 79
@@ -364,7 +364,7 @@
 
 def test_a_write_waits_for_an_unread_discovery_event():
     """As in a process that was stopped or had no CPU: the discovery thread has not read the event yet."""
-    cache, notices = Cache(lambda w: None), Notices()
+    cache, notices = Cache(lambda w: None), DiscoveryStub()
     pool, router_host = make_router_host(cache)
     host, port = notices.address.split(":")
     discovery = pool.discovery = DiscoveryClient((host, int(port)), router_host, 1)
@@ -428,7 +428,7 @@
 def test_all_events_of_one_discovery_read_are_applied_before_that_thread_writes():
     """Found by the test above on a busy machine: after the first of two events of one read, a drain and a purge, the discovery thread ran
     the Router and wrote hops that took account of the drain only."""
-    cache, notices = Cache(lambda w: None), Notices()
+    cache, notices = Cache(lambda w: None), DiscoveryStub()
     pool, router_host = make_router_host(cache)
     host, port = notices.address.split(":")
     discovery = pool.discovery = DiscoveryClient((host, int(port)), router_host, 1)
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from helpers import Cache, Client, Notices, Service, endpoint, settings, until
+from helpers import Cache, Client, DiscoveryStub, Service, endpoint, settings, until
 
 HIT = ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"bytes")
 TXN_KB = 1120.0  # 0.4 s of transfer at 2800 KB a second, which is also the initial guess of a router
@@ -122,7 +122,7 @@
 def test_twenty_or_more_routers_together_do_not_overload_a_cache_in_slow_start(tmp_path, started_services, router_count, rating, restarts):
     """Hops are counted at the cache's socket. The routers get unequal traffic, many times the budget of the cache; some of them are killed
     and restarted within its budget windows."""
-    caches, board, conf = [TimedCache() for _ in range(2)], Notices(), zone_settings(router_count, rating)
+    caches, board, conf = [TimedCache() for _ in range(2)], DiscoveryStub(), zone_settings(router_count, rating)
     services = start_routers(tmp_path, router_count, caches, board, conf)
     started_services += services
     for service in services:
@@ -159,7 +159,7 @@
 
 def test_thirty_restarted_at_once_on_two_cores_without_discovery_are_ready_in_time(tmp_path, started_services):
     """Nine of ten are ready within 10 s, and each within 30 s, while the address of discovery accepts connections and sends nothing."""
-    board = Notices(wait=60.0)
+    board = DiscoveryStub(wait=60.0)
     cores = sorted(os.sched_getaffinity(0))[:2]
     all_cores = os.sched_getaffinity(0)
     os.sched_setaffinity(0, cores)  # processes started from here on run on these two cores
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Cache, Client, Events, Listener, Notices, clock, endpoint, sender, settings, until
+from helpers import Cache, Client, Events, Listener, DiscoveryStub, clock, endpoint, sender, settings, until
 
 from fieldspur.__main__ import Service as RouterService
 from fieldspur.host import RESULTS
@@ -298,7 +298,7 @@
 def test_a_reload_moves_the_watch_to_the_new_discovery_service_and_a_faulty_file_changes_nothing(run):
     cache = Cache()
     service = run(cache)
-    first_discovery, second_discovery = service.board, Notices()
+    first_discovery, second_discovery = service.board, DiscoveryStub()
     until(lambda: first_discovery.watched == [1])
     service.reload("{")
     until(lambda: "event=kept" in service.lines(), "the faulty file")
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from helpers import Cache, Client, Notices, endpoint, until
+from helpers import Cache, Client, DiscoveryStub, endpoint, until
 
 from fieldspur.bench.path import free_port
 from fieldspur.net.discovery import SILENCE_LIMIT_S
@@ -16,7 +16,7 @@
 HIT = ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"bytes")
 
 
-class ScriptedDiscovery(Notices):
+class ScriptedDiscovery(DiscoveryStub):
     """A discovery service whose first connections behave as `behaviours` says, in this order; the rest follow the protocol."""
 
     def __init__(self, *behaviours):
@@ -104,7 +104,7 @@
 
 def test_a_watch_that_falls_silent_is_replaced_and_no_event_is_missed(run):
     """The connection stays open and silent: the events meanwhile come with the next connection, from the last number on."""
-    caches, discovery, has_fallen_silent = [Cache(lambda want: HIT) for _ in range(2)], Notices(), threading.Event()
+    caches, discovery, has_fallen_silent = [Cache(lambda want: HIT) for _ in range(2)], DiscoveryStub(), threading.Event()
     real_serve = discovery.serve
 
     def serve(conn):
@@ -141,7 +141,7 @@
 @pytest.mark.parametrize("first", ["silent", "refuses", "never comes up", "half a line"])
 def test_a_change_of_address_takes_effect_whatever_the_old_watch_is_doing(run, first):
     """Between connect and the first read, within a line, before the connect has succeeded, and in the pause after a refused connect."""
-    caches, new_discovery = [Cache(lambda want: HIT) for _ in range(2)], Notices()
+    caches, new_discovery = [Cache(lambda want: HIT) for _ in range(2)], DiscoveryStub()
     new_discovery.events.append(drain_event(caches))
     old_discovery, pending_sockets = ScriptedDiscovery(*[first] * 9), []
     old_discovery.events.append(drain_event(caches))
@@ -168,7 +168,7 @@
 
 
 def test_of_several_address_changes_the_last_one_counts_even_after_an_address_that_is_down(run):
-    caches, discoveries = [Cache(lambda want: HIT) for _ in range(2)], [Notices() for _ in range(3)]
+    caches, discoveries = [Cache(lambda want: HIT) for _ in range(2)], [DiscoveryStub() for _ in range(3)]
     service = run(*caches, notices=discoveries[0])
     service.client()
     unused_address = "127.0.0.1:%d" % free_port("127.0.0.1")
@@ -200,7 +200,7 @@
     time.sleep(1.0)
     assert cpu_seconds(service.process.pid) - cpu_before < 0.7
 
-    class RestartedDiscovery(Notices):
+    class RestartedDiscovery(DiscoveryStub):
         def __init__(self):
             self.events, self.watched, self.sent, self.wait, self.numbers, self.conns = [drain_event(caches)], [], [], 0.0, True, []
             self.sock = socket.create_server(("127.0.0.1", port))
