--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -540,7 +540,7 @@
     """The program as a process, with one cache `c0`, a parent, an origin and a board that stand in."""
 
     def __init__(self, folder, caches, notices=None, operators=None, env=None, **conf):
-        self.board, self.folder = notices or DiscoveryStub(), folder
+        self.discovery, self.folder = notices or DiscoveryStub(), folder
         host = "127.%d.%d.1" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # tests beside these have theirs
         with socket.create_server((host, 0)) as free:
             self.address = "%s:%d" % free.getsockname()
@@ -551,7 +551,7 @@
             "name": "n0",
             "listen": self.address,
             "seed": "1f",
-            "board": self.board.address,
+            "board": self.discovery.address,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "known": {"rev": 1, "notices": [pool]},
             "settings": settings(),
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -411,9 +411,9 @@
         assert client.get()[2] == 79
     service.process.send_signal(signal.SIGSTOP)
     before = len(drained.wants)
-    service.board.tell(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
-    service.board.tell(3, flush={"collection": 7, "ms": time.time_ns() // MS})
-    until(lambda: service.board.sent[-2:] == [2, 3])
+    service.discovery.tell(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
+    service.discovery.tell(3, flush={"collection": 7, "ms": time.time_ns() // MS})
+    until(lambda: service.discovery.sent[-2:] == [2, 3])
     for n, client in enumerate(clients):
         for stream in range(2, 12):
             client.ask(stream, txn=f"{1000 * n + stream:016x}", item=f"{1000 * n + stream:016x}", limit="60000")
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -83,7 +83,7 @@
     """Starts another process in place of one that ended, at its address."""
     folder = service.folder
     os.rename(folder / "log", folder / f"log-{service.process.pid}")
-    restarted = Service(folder, [], service.board, **service.conf)
+    restarted = Service(folder, [], service.discovery, **service.conf)
     return restarted
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -251,7 +251,7 @@
     client.get()
     home_cache, other_cache = (cache, second_cache) if cache.wants else (second_cache, cache)
     purged_at = time.monotonic() - 0.1
-    service.board.tell(2, flush={"asset": "%016x" % 1, "ms": int(time.time() * 1000) - 100})
+    service.discovery.tell(2, flush={"asset": "%016x" % 1, "ms": int(time.time() * 1000) - 100})
 
     def purge_applies():
         client.stream = getattr(client, "stream", 1) + 1
@@ -261,7 +261,7 @@
 
     assert 0 < int(until(purge_applies, "a purge")) <= (time.monotonic() - purged_at) * 1000  # a copy must not be older than the purge
     name = "c0" if home_cache is cache else "c1"
-    service.board.tell(3, pool={"index": 2, "snapshot": False, "endpoints": [endpoint(name, home_cache.address, status="draining")]})
+    service.discovery.tell(3, pool={"index": 2, "snapshot": False, "endpoints": [endpoint(name, home_cache.address, status="draining")]})
 
     def drain_applies():
         client.stream += 1
@@ -275,14 +275,14 @@
 def test_a_discovery_watch_that_breaks_continues_after_the_last_event(run):
     cache = Cache()
     service = run(cache)
-    until(lambda: service.board.watched == [1])
-    service.board.tell(2, flush={"collection": 9, "ms": 1})
+    until(lambda: service.discovery.watched == [1])
+    service.discovery.tell(2, flush={"collection": 9, "ms": 1})
     time.sleep(0.1)
-    service.board.reset()
-    until(lambda: service.board.watched[-1] == 2 and len(service.board.watched) > 1, "a second watch")
-    service.board.tell(4, flush={"collection": 9, "ms": 1})  # event 3 is missing: the router watches again and does not apply event 4
-    until(lambda: len(service.board.watched) > 3 and service.board.watched[-1] == 2, "a watch after a gap")
-    service.board.events.insert(-1, {"rev": 3, "flush": {"collection": 7, "ms": int(time.time() * 1000) - 50}})
+    service.discovery.reset()
+    until(lambda: service.discovery.watched[-1] == 2 and len(service.discovery.watched) > 1, "a second watch")
+    service.discovery.tell(4, flush={"collection": 9, "ms": 1})  # event 3 is missing: the router watches again and does not apply event 4
+    until(lambda: len(service.discovery.watched) > 3 and service.discovery.watched[-1] == 2, "a watch after a gap")
+    service.discovery.events.insert(-1, {"rev": 3, "flush": {"collection": 7, "ms": int(time.time() * 1000) - 50}})
     until(lambda: "followed by 4" in service.lines())
     client = service.client()
 
@@ -298,7 +298,7 @@
 def test_a_reload_moves_the_watch_to_the_new_discovery_service_and_a_faulty_file_changes_nothing(run):
     cache = Cache()
     service = run(cache)
-    first_discovery, second_discovery = service.board, DiscoveryStub()
+    first_discovery, second_discovery = service.discovery, DiscoveryStub()
     until(lambda: first_discovery.watched == [1])
     service.reload("{")
     until(lambda: "event=kept" in service.lines(), "the faulty file")
@@ -343,8 +343,8 @@
 def test_no_line_from_discovery_ends_the_program(run, line):
     service = run(Cache())
     service.client()  # the router is ready: it has got the last number, and discovery sends nothing more by itself
-    service.board.conns[0].sendall(line + b"\n")
-    until(lambda: len(service.board.watched) > 1, "a further watch")
+    service.discovery.conns[0].sendall(line + b"\n")
+    until(lambda: len(service.discovery.watched) > 1, "a further watch")
     client = service.client()
     client.ask(1)
     assert client.get()[:3] == (66, 1, 79)
@@ -352,15 +352,15 @@
 
 def test_a_discovery_watch_that_stalls_within_a_line_is_started_again(run):
     service = run(Cache())
-    until(lambda: service.board.conns)
-    conn = service.board.conns[0]
+    until(lambda: service.discovery.conns)
+    conn = service.discovery.conns[0]
 
     def send_space():  # bytes without a whole line do not count as a sign of life
         try:
             conn.sendall(b" ")
         except OSError:
             pass  # the router has closed the connection
-        return len(service.board.watched) > 1
+        return len(service.discovery.watched) > 1
 
     until(send_space, "a further watch")
 
@@ -372,7 +372,7 @@
     client.ask(1)
     client.get()
     connections_before = len(cache.conns)
-    service.board.tell(
+    service.discovery.tell(
         2,
         pool={"index": 2, "snapshot": False, "endpoints": [endpoint("c0", cache.address, status="removed"), endpoint("c9", cache.address)]},
     )
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -111,10 +111,10 @@
     cache = Cache(lambda want: ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"x") if want["id"] == "%016x" % 1 else None)
     service = run(cache)
     other = service.client()
-    until(lambda: service.board.watched)
-    service.board.sock.shutdown(socket.SHUT_RDWR)
-    service.board.sock.close()
-    service.board.reset()
+    until(lambda: service.discovery.watched)
+    service.discovery.sock.shutdown(socket.SHUT_RDWR)
+    service.discovery.sock.close()
+    service.discovery.reset()
     other.ask(1)
     assert other.get()[1:3] == (1, 79)  # the connection to the server is established
     time.sleep(SILENCE_LIMIT_S)  # from now on, a write waits a moment for discovery
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -69,7 +69,7 @@
 
 def expect_drained(service, caches, last=2, limit=20.0):
     """Waits until the drain of c0 has reached the router, and checks that c0 gets no requests any more."""
-    until(lambda: f"last={last}" in service.lines() or service.board.sent[-1:] == [last], limit=limit)
+    until(lambda: f"last={last}" in service.lines() or service.discovery.sent[-1:] == [last], limit=limit)
     time.sleep(0.3)
     count_before = len(caches[0].wants)
     expect_answers(service.client(), 100)
@@ -163,7 +163,7 @@
     service.reload(board=new_discovery.address)
     until(lambda: new_discovery.watched, limit=5)
     assert time.monotonic() - began < 1.0 and new_discovery.watched == [1]
-    service.board = new_discovery
+    service.discovery = new_discovery
     expect_drained(service, caches)
 
 
@@ -176,7 +176,7 @@
         service.reload(board=address)
     until(lambda: discoveries[2].watched)
     discoveries[2].events.append(drain_event(caches))
-    service.board = discoveries[2]
+    service.discovery = discoveries[2]
     expect_drained(service, caches)
     service.reload(board=unused_address)
     until(lambda: "refused" in service.lines().lower())
@@ -208,7 +208,7 @@
 
     for _ in range(60):
         idle_sockets.append(socket.create_connection(client.sock.getpeername(), timeout=20))
-    service.board = RestartedDiscovery()
+    service.discovery = RestartedDiscovery()
     expect_drained(service, caches)
     assert "event=accept" not in service.lines()
 
