--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -435,7 +435,7 @@
 
 
 class DiscoveryStub(Listener):
-    """The notice board: `tell` adds an event; who watches gets all later than it has, then what comes."""
+    """The notice board: `add_event` adds an event; who watches gets all later than it has, then what comes."""
 
     def __init__(self, wait=0.0, numbers=True):
         self.events, self.watched, self.sent, self.wait, self.numbers = [], [], [], wait, numbers
@@ -461,7 +461,7 @@
             except BlockingIOError:
                 pass
 
-    def tell(self, rev, **event):
+    def add_event(self, rev, **event):
         self.events.append({"rev": rev, **event})
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -723,7 +723,7 @@
     clock_set_at = time.monotonic()
     clock.set(seconds)
     assert client.get()[1] == 1 and 0.5 < time.monotonic() - clock_set_at < 1.0
-    service.discovery.tell(2, flush={"collection": 7, "ms": int(time.time() * 1000)})  # by the clock of the discovery service
+    service.discovery.add_event(2, flush={"collection": 7, "ms": int(time.time() * 1000)})  # by the clock of the discovery service
     until(lambda: service.discovery.sent)
     for stream in range(2, 6):
         client.ask(stream)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -225,7 +225,7 @@
     client.ask(1)
     assert client.get()[1:3] == (1, 79)
     wall.set(step)
-    service.discovery.tell(2, flush={"collection": 7, "ms": int(time.time() * 1000)})
+    service.discovery.add_event(2, flush={"collection": 7, "ms": int(time.time() * 1000)})
     until(lambda: service.discovery.sent)
     time.sleep(0.3)
     client.ask(2)
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -32,7 +32,7 @@
     """Found on herd+mass: 43 of 134 restarted routers wrote hops before they had asked discovery, 13 of them to a drained server."""
     drained, other = Cache(), Cache()
     discovery = DiscoveryStub(wait)
-    discovery.tell(2, pool={"index": 2, "snapshot": False, "endpoints": [endpoint("c0", drained.address, status="draining")]})
+    discovery.add_event(2, pool={"index": 2, "snapshot": False, "endpoints": [endpoint("c0", drained.address, status="draining")]})
     service = run(drained, other, notices=discovery)
     clients = [service.early() for _ in range(4)]
     for n, client in enumerate(clients):
@@ -48,7 +48,7 @@
     """Found on herd+mass: the bare number after the past events comes up to a second later, and 46 of 336 starts waited for it."""
     drained, other = Cache(), Cache()
     discovery = DiscoveryStub(numbers=False)
-    discovery.tell(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
+    discovery.add_event(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
     client = run(drained, other, notices=discovery, operators={"start": {"board_wait_s": 15.0}}).early()
     client.ask(1)
     assert client.get()[2] == 79 and not drained.wants
@@ -372,7 +372,7 @@
     threading.Thread(target=discovery.run, daemon=True).start()
     until(discovery.caught_up.is_set)
     with discovery.read_lock:  # the discovery thread can't read, with the event in its socket
-        notices.tell(2, pool={"endpoints": [endpoint("c0", cache.address, status="draining")]})
+        notices.add_event(2, pool={"endpoints": [endpoint("c0", cache.address, status="draining")]})
         until(lambda: notices.sent)
         time.sleep(0.06)
         hop = make_hop(1)
@@ -411,8 +411,8 @@
         assert client.get()[2] == 79
     service.process.send_signal(signal.SIGSTOP)
     before = len(drained.wants)
-    service.discovery.tell(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
-    service.discovery.tell(3, flush={"collection": 7, "ms": time.time_ns() // MS})
+    service.discovery.add_event(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
+    service.discovery.add_event(3, flush={"collection": 7, "ms": time.time_ns() // MS})
     until(lambda: service.discovery.sent[-2:] == [2, 3])
     for n, client in enumerate(clients):
         for stream in range(2, 12):
@@ -437,8 +437,8 @@
     threading.Thread(target=discovery.run, daemon=True).start()
     until(discovery.caught_up.is_set)
     with discovery.read_lock:
-        notices.tell(2, pool={"endpoints": [endpoint("c1", cache.address)]})
-        notices.tell(3, flush={"collection": 7, "ms": time.time_ns() // MS})
+        notices.add_event(2, pool={"endpoints": [endpoint("c1", cache.address)]})
+        notices.add_event(3, flush={"collection": 7, "ms": time.time_ns() // MS})
         until(lambda: notices.sent == [2, 3])
         router_host.queue.append((lambda: observed.append((pool.rules.purges, "c1" in pool.endpoints)), (), clock()))
     until(lambda: observed)
--- a/tests/test_fleet_work_processes.py
+++ b/tests/test_fleet_work_processes.py
@@ -80,7 +80,7 @@
     """The work is done: the discovery service lists the machine with a new start time."""
     index = int(machine[1:])
     row = endpoint(machine, fleet.caches[index].address) | {"since_ms": int(time.time() * 1000)}
-    fleet.discovery.tell(len(fleet.discovery.events) + 2, pool={"index": 1, "snapshot": False, "endpoints": [row]})
+    fleet.discovery.add_event(len(fleet.discovery.events) + 2, pool={"index": 1, "snapshot": False, "endpoints": [row]})
 
 
 def wait_until_out(fleet, n, machine, *states):
--- a/tests/test_mass_crash.py
+++ b/tests/test_mass_crash.py
@@ -85,7 +85,7 @@
                 for number, cache in enumerate(caches):
                     time.sleep(0.005)
                     endpoints = [endpoint(f"c{number}", cache.address, status=status)]
-                    service.discovery.tell(next(revisions), pool={"index": 1, "snapshot": False, "endpoints": endpoints})
+                    service.discovery.add_event(next(revisions), pool={"index": 1, "snapshot": False, "endpoints": endpoints})
             for cache in caches:
                 cache.come_back()
             time.sleep(0.1)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -251,7 +251,7 @@
     client.get()
     home_cache, other_cache = (cache, second_cache) if cache.wants else (second_cache, cache)
     purged_at = time.monotonic() - 0.1
-    service.discovery.tell(2, flush={"asset": "%016x" % 1, "ms": int(time.time() * 1000) - 100})
+    service.discovery.add_event(2, flush={"asset": "%016x" % 1, "ms": int(time.time() * 1000) - 100})
 
     def purge_applies():
         client.stream = getattr(client, "stream", 1) + 1
@@ -261,7 +261,7 @@
 
     assert 0 < int(until(purge_applies, "a purge")) <= (time.monotonic() - purged_at) * 1000  # a copy must not be older than the purge
     name = "c0" if home_cache is cache else "c1"
-    service.discovery.tell(3, pool={"index": 2, "snapshot": False, "endpoints": [endpoint(name, home_cache.address, status="draining")]})
+    service.discovery.add_event(3, pool={"index": 2, "snapshot": False, "endpoints": [endpoint(name, home_cache.address, status="draining")]})
 
     def drain_applies():
         client.stream += 1
@@ -276,11 +276,11 @@
     cache = Cache()
     service = run(cache)
     until(lambda: service.discovery.watched == [1])
-    service.discovery.tell(2, flush={"collection": 9, "ms": 1})
+    service.discovery.add_event(2, flush={"collection": 9, "ms": 1})
     time.sleep(0.1)
     service.discovery.reset()
     until(lambda: service.discovery.watched[-1] == 2 and len(service.discovery.watched) > 1, "a second watch")
-    service.discovery.tell(4, flush={"collection": 9, "ms": 1})  # event 3 is missing: the router watches again and does not apply event 4
+    service.discovery.add_event(4, flush={"collection": 9, "ms": 1})  # event 3 is missing: the router watches again and does not apply event 4
     until(lambda: len(service.discovery.watched) > 3 and service.discovery.watched[-1] == 2, "a watch after a gap")
     service.discovery.events.insert(-1, {"rev": 3, "flush": {"collection": 7, "ms": int(time.time() * 1000) - 50}})
     until(lambda: "followed by 4" in service.lines())
@@ -302,10 +302,10 @@
     until(lambda: first_discovery.watched == [1])
     service.reload("{")
     until(lambda: "event=kept" in service.lines(), "the faulty file")
-    first_discovery.tell(2, flush={"collection": 9, "ms": 1})
+    first_discovery.add_event(2, flush={"collection": 9, "ms": 1})
     first_discovery.sock.close()  # connections to the old discovery service stay open, without further events
     until(lambda: len(first_discovery.sent) == 1, "event 2")
-    second_discovery.tell(3, flush={"collection": 7, "ms": int(time.time() * 1000) - 50})
+    second_discovery.add_event(3, flush={"collection": 7, "ms": int(time.time() * 1000) - 50})
     for _ in range(3):  # several reloads without a pause
         service.reload(board=second_discovery.address, seed="20")
     until(
@@ -372,7 +372,7 @@
     client.ask(1)
     client.get()
     connections_before = len(cache.conns)
-    service.discovery.tell(
+    service.discovery.add_event(
         2,
         pool={"index": 2, "snapshot": False, "endpoints": [endpoint("c0", cache.address, status="removed"), endpoint("c9", cache.address)]},
     )
