--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -438,19 +438,19 @@
     """The notice board: `add_event` adds an event; who watches gets all later than it has, then what comes."""
 
     def __init__(self, wait=0.0, numbers=True):
-        self.events, self.watched, self.sent, self.wait, self.numbers = [], [], [], wait, numbers
+        self.events, self.watch_revisions, self.sent_revisions, self.wait, self.numbers = [], [], [], wait, numbers
         super().__init__()
 
     def serve(self, conn):
         last = int(conn.makefile("rb").readline().split()[1])
-        self.watched.append(last)
+        self.watch_revisions.append(last)
         time.sleep(self.wait)  # before it says anything
         said = False
         while True:
             for event in [e for e in self.events if e["rev"] > last]:
                 conn.sendall(json.dumps(event).encode() + b"\n")
                 last = event["rev"]
-                self.sent.append(last)
+                self.sent_revisions.append(last)
             if self.numbers and not said:  # the last number alone, once it has caught up (a board says it each second)
                 conn.sendall(b"%d\n" % last)
                 said = True
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -724,7 +724,7 @@
     clock.set(seconds)
     assert client.get()[1] == 1 and 0.5 < time.monotonic() - clock_set_at < 1.0
     service.discovery.add_event(2, flush={"collection": 7, "ms": int(time.time() * 1000)})  # by the clock of the discovery service
-    until(lambda: service.discovery.sent)
+    until(lambda: service.discovery.sent_revisions)
     for stream in range(2, 6):
         client.ask(stream)
     assert {client.get()[1:3] for _ in range(4)} == {(stream, 79) for stream in range(2, 6)}
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -226,7 +226,7 @@
     assert client.get()[1:3] == (1, 79)
     wall.set(step)
     service.discovery.add_event(2, flush={"collection": 7, "ms": int(time.time() * 1000)})
-    until(lambda: service.discovery.sent)
+    until(lambda: service.discovery.sent_revisions)
     time.sleep(0.3)
     client.ask(2)
     assert client.get()[1:3] == (2, 79)
@@ -271,14 +271,14 @@
     other_discovery = DiscoveryStub()
     service = run(Cache())
     _client = service.client()
-    until(lambda: service.discovery.watched)
+    until(lambda: service.discovery.watch_revisions)
     open_descriptors = set(map(int, os.listdir(f"/proc/{service.process.pid}/fd")))
     _, hard_limit = resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE)
     resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (min(set(range(1000)) - open_descriptors), hard_limit))
     service.reload(board=other_discovery.address)
     time.sleep(0.3)
     resource.prlimit(service.process.pid, resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
-    until(lambda: other_discovery.watched, limit=5)
+    until(lambda: other_discovery.watch_revisions, limit=5)
 
 
 def test_a_start_at_a_moment_without_descriptors_succeeds(run, tmp_path):
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -41,7 +41,7 @@
     for client in clients:
         assert sorted(client.get()[1:3] for _ in range(10)) == [(stream, 79) for stream in range(1, 11)]
     assert not drained.wants and len(other.wants) == 40
-    assert discovery.watched == [1]
+    assert discovery.watch_revisions == [1]
 
 
 def test_a_start_does_not_wait_for_a_bare_number_after_the_past_events(run):
@@ -373,7 +373,7 @@
     until(discovery.caught_up.is_set)
     with discovery.read_lock:  # the discovery thread can't read, with the event in its socket
         notices.add_event(2, pool={"endpoints": [endpoint("c0", cache.address, status="draining")]})
-        until(lambda: notices.sent)
+        until(lambda: notices.sent_revisions)
         time.sleep(0.06)
         hop = make_hop(1)
         writer = threading.Thread(target=enqueue_and_write, args=(pool, hop))
@@ -413,7 +413,7 @@
     before = len(drained.wants)
     service.discovery.add_event(2, pool={"endpoints": [endpoint("c0", drained.address, status="draining")]})
     service.discovery.add_event(3, flush={"collection": 7, "ms": time.time_ns() // MS})
-    until(lambda: service.discovery.sent[-2:] == [2, 3])
+    until(lambda: service.discovery.sent_revisions[-2:] == [2, 3])
     for n, client in enumerate(clients):
         for stream in range(2, 12):
             client.ask(stream, txn=f"{1000 * n + stream:016x}", item=f"{1000 * n + stream:016x}", limit="60000")
@@ -439,7 +439,7 @@
     with discovery.read_lock:
         notices.add_event(2, pool={"endpoints": [endpoint("c1", cache.address)]})
         notices.add_event(3, flush={"collection": 7, "ms": time.time_ns() // MS})
-        until(lambda: notices.sent == [2, 3])
+        until(lambda: notices.sent_revisions == [2, 3])
         router_host.queue.append((lambda: observed.append((pool.rules.purges, "c1" in pool.endpoints)), (), clock()))
     until(lambda: observed)
     assert observed == [(1, True)]
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -275,13 +275,13 @@
 def test_a_discovery_watch_that_breaks_continues_after_the_last_event(run):
     cache = Cache()
     service = run(cache)
-    until(lambda: service.discovery.watched == [1])
+    until(lambda: service.discovery.watch_revisions == [1])
     service.discovery.add_event(2, flush={"collection": 9, "ms": 1})
     time.sleep(0.1)
     service.discovery.reset()
-    until(lambda: service.discovery.watched[-1] == 2 and len(service.discovery.watched) > 1, "a second watch")
+    until(lambda: service.discovery.watch_revisions[-1] == 2 and len(service.discovery.watch_revisions) > 1, "a second watch")
     service.discovery.add_event(4, flush={"collection": 9, "ms": 1})  # event 3 is missing: the router watches again and does not apply event 4
-    until(lambda: len(service.discovery.watched) > 3 and service.discovery.watched[-1] == 2, "a watch after a gap")
+    until(lambda: len(service.discovery.watch_revisions) > 3 and service.discovery.watch_revisions[-1] == 2, "a watch after a gap")
     service.discovery.events.insert(-1, {"rev": 3, "flush": {"collection": 7, "ms": int(time.time() * 1000) - 50}})
     until(lambda: "followed by 4" in service.lines())
     client = service.client()
@@ -299,17 +299,17 @@
     cache = Cache()
     service = run(cache)
     first_discovery, second_discovery = service.discovery, DiscoveryStub()
-    until(lambda: first_discovery.watched == [1])
+    until(lambda: first_discovery.watch_revisions == [1])
     service.reload("{")
     until(lambda: "event=kept" in service.lines(), "the faulty file")
     first_discovery.add_event(2, flush={"collection": 9, "ms": 1})
     first_discovery.sock.close()  # connections to the old discovery service stay open, without further events
-    until(lambda: len(first_discovery.sent) == 1, "event 2")
+    until(lambda: len(first_discovery.sent_revisions) == 1, "event 2")
     second_discovery.add_event(3, flush={"collection": 7, "ms": int(time.time() * 1000) - 50})
     for _ in range(3):  # several reloads without a pause
         service.reload(board=second_discovery.address, seed="20")
     until(
-        lambda: second_discovery.watched and second_discovery.watched[0] == 2,
+        lambda: second_discovery.watch_revisions and second_discovery.watch_revisions[0] == 2,
         "a watch of the new discovery service from the last number on",
     )
     client = service.client()
@@ -344,7 +344,7 @@
     service = run(Cache())
     service.client()  # the router is ready: it has got the last number, and discovery sends nothing more by itself
     service.discovery.conns[0].sendall(line + b"\n")
-    until(lambda: len(service.discovery.watched) > 1, "a further watch")
+    until(lambda: len(service.discovery.watch_revisions) > 1, "a further watch")
     client = service.client()
     client.ask(1)
     assert client.get()[:3] == (66, 1, 79)
@@ -360,7 +360,7 @@
             conn.sendall(b" ")
         except OSError:
             pass  # the router has closed the connection
-        return len(service.discovery.watched) > 1
+        return len(service.discovery.watch_revisions) > 1
 
     until(send_space, "a further watch")
 
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -111,7 +111,7 @@
     cache = Cache(lambda want: ("ACK", "entity=e,issued=1,tell=TCP_HIT", b"x") if want["id"] == "%016x" % 1 else None)
     service = run(cache)
     other = service.client()
-    until(lambda: service.discovery.watched)
+    until(lambda: service.discovery.watch_revisions)
     service.discovery.sock.shutdown(socket.SHUT_RDWR)
     service.discovery.sock.close()
     service.discovery.reset()
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -69,7 +69,7 @@
 
 def expect_drained(service, caches, last=2, limit=20.0):
     """Waits until the drain of c0 has reached the router, and checks that c0 gets no requests any more."""
-    until(lambda: f"last={last}" in service.lines() or service.discovery.sent[-1:] == [last], limit=limit)
+    until(lambda: f"last={last}" in service.lines() or service.discovery.sent_revisions[-1:] == [last], limit=limit)
     time.sleep(0.3)
     count_before = len(caches[0].wants)
     expect_answers(service.client(), 100)
@@ -96,7 +96,7 @@
     discovery.events.append(drain_event(caches))
     began = time.monotonic()
     service = run(*caches, notices=discovery)
-    until(lambda: discovery.sent)
+    until(lambda: discovery.sent_revisions)
     took = discovery.watches[-1][1] - discovery.watches[0][1]
     assert len(discovery.watches) == len(moods) + 1 and took < max_s + 1.0 * len(moods) + 0.5, (took, time.monotonic() - began)
     expect_drained(service, caches)
@@ -108,9 +108,9 @@
     real_serve = discovery.serve
 
     def serve(conn):
-        if has_fallen_silent.is_set() or discovery.watched:
+        if has_fallen_silent.is_set() or discovery.watch_revisions:
             return real_serve(conn)
-        discovery.watched.append(int(conn.makefile("rb").readline().split()[1]))
+        discovery.watch_revisions.append(int(conn.makefile("rb").readline().split()[1]))
         conn.sendall(b"1\n")
         has_fallen_silent.set()
         while conn.recv(4096):
@@ -122,7 +122,7 @@
     discovery.events.append(drain_event(caches))
     began = time.monotonic()
     expect_drained(service, caches, limit=SILENCE_LIMIT_S + 2)
-    assert discovery.watched == [1, 1] and time.monotonic() - began < SILENCE_LIMIT_S + 3
+    assert discovery.watch_revisions == [1, 1] and time.monotonic() - began < SILENCE_LIMIT_S + 3
 
 
 def test_an_event_after_heartbeats_with_an_old_number_takes_effect(run):
@@ -134,7 +134,7 @@
     assert len(discovery.watches) == 1 and "event=lost" not in service.lines()
     discovery.events.append(drain_event(caches))
     discovery.conns[0].sendall(json.dumps(discovery.events[0]).encode() + b"\n")
-    discovery.sent.append(2)
+    discovery.sent_revisions.append(2)
     expect_drained(service, caches)
 
 
@@ -161,8 +161,8 @@
         until(lambda: old_discovery.watches)
     began = time.monotonic()
     service.reload(board=new_discovery.address)
-    until(lambda: new_discovery.watched, limit=5)
-    assert time.monotonic() - began < 1.0 and new_discovery.watched == [1]
+    until(lambda: new_discovery.watch_revisions, limit=5)
+    assert time.monotonic() - began < 1.0 and new_discovery.watch_revisions == [1]
     service.discovery = new_discovery
     expect_drained(service, caches)
 
@@ -174,7 +174,7 @@
     unused_address = "127.0.0.1:%d" % free_port("127.0.0.1")
     for address in (discoveries[1].address, unused_address, discoveries[2].address):
         service.reload(board=address)
-    until(lambda: discoveries[2].watched)
+    until(lambda: discoveries[2].watch_revisions)
     discoveries[2].events.append(drain_event(caches))
     service.discovery = discoveries[2]
     expect_drained(service, caches)
@@ -182,7 +182,7 @@
     until(lambda: "refused" in service.lines().lower())
     expect_answers(service.client(), 200)  # by the last list that it received
     service.reload(board=discoveries[1].address)
-    until(lambda: discoveries[1].watched[-1:] == [2])
+    until(lambda: discoveries[1].watch_revisions[-1:] == [2])
 
 
 def test_idle_clients_that_use_all_descriptors_lock_out_neither_discovery_nor_other_clients(run):
@@ -202,7 +202,7 @@
 
     class RestartedDiscovery(DiscoveryStub):
         def __init__(self):
-            self.events, self.watched, self.sent, self.wait, self.numbers, self.conns = [drain_event(caches)], [], [], 0.0, True, []
+            self.events, self.watch_revisions, self.sent_revisions, self.wait, self.numbers, self.conns = [drain_event(caches)], [], [], 0.0, True, []
             self.sock = socket.create_server(("127.0.0.1", port))
             threading.Thread(target=self.run, daemon=True).start()
 
