--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -634,7 +634,7 @@
         return super().get(ident) or SimpleNamespace(taken_at=clock())
 
 
-def readers_held(monkeypatch):
+def hold_server_readers(monkeypatch):
     """From now on, connections to servers are read only once the event given back is set: their threads have not had the core."""
     reading, held = ServerConnection.read_replies, threading.Event()
     monkeypatch.setattr(ServerConnection, "read_replies", lambda lane: (held.wait(10), reading(lane)))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,7 +23,7 @@
     at_its_peer,
     clock,
     pause,
-    readers_held,
+    hold_server_readers,
     sender,
     settings,
     until,
@@ -687,7 +687,7 @@
 @pytest.mark.parametrize("how", ["closes", "resets"])
 def test_no_hop_is_written_to_a_connection_that_its_server_ended_while_it_was_idle(monkeypatch, how):
     """The close is in the socket, but the connection's reader has not run since. The hop never ran, so it may go to another server."""
-    readers_may_run, cache = readers_held(monkeypatch), Cache(lambda want: None)
+    readers_may_run, cache = hold_server_readers(monkeypatch), Cache(lambda want: None)
     pool = sender(cache.address, open_txns=OpenTxns())
     hop = open_txn_with_hop(pool, staying_client_writer(pool))
     first_connection = ServerConnection(pool, "c0", pool.endpoints["c0"].address)
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from helpers import Cache, Listener, DiscoveryStub, Stalled, clock, endpoint, readers_held, sender, until
+from helpers import Cache, Listener, DiscoveryStub, Stalled, clock, endpoint, hold_server_readers, sender, until
 from test_path import enqueue_and_write, make_want
 
 from fieldspur.net import resp
@@ -146,7 +146,7 @@
 
 def test_a_cancel_that_meets_a_reset_connection_does_not_hold_up_the_next_hop(monkeypatch):
     """Found on roll+brink and split+brink: the cancel met the reset before the reading thread did, and the next hop waited forever."""
-    readers_may_run, cache, other = readers_held(monkeypatch), Cache(lambda want: None), Cache(lambda want: None)
+    readers_may_run, cache, other = hold_server_readers(monkeypatch), Cache(lambda want: None), Cache(lambda want: None)
     pool = sender(cache.address, c1=other.address)
     hop = make_hop(1)
     connection = enqueue_and_write(pool, hop)
