--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -320,7 +320,7 @@
     until(lambda: all(open(f"{tasks}/{one}/stat").read().rsplit(")", 1)[1].split()[0] == "T" for one in os.listdir(tasks)))
 
 
-def at_its_peer(sock, state):
+def wait_for_peer_state(sock, state):
     """Returns once the other end of a connection on this machine is in that state of the system's table: 8, its peer's end has come;
     7, reset or closed, where it is not listed at all."""
     here, there = (
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
     Referee,
     SettableClock,
     Stalled,
-    at_its_peer,
+    wait_for_peer_state,
     clock,
     pause,
     hold_server_readers,
@@ -284,7 +284,7 @@
     for stream in range(1, request_count + 1):
         client.ask(stream)
     client.sock.shutdown(socket.SHUT_WR)
-    at_its_peer(client.sock, 8)
+    wait_for_peer_state(client.sock, 8)
     other.ask(99)
     os.kill(service.process.pid, signal.SIGCONT)
     until(lambda: "%016x" % 99 in cache.held)
@@ -330,7 +330,7 @@
         for stream in range(1, 6):
             leaving.ask(stream, txn=f"{1000 * number + stream:016x}")
         leaving.file.close(), leaving.sock.shutdown(socket.SHUT_WR)
-    at_its_peer(leaving.sock, 8)  # waits for the close of the last client
+    wait_for_peer_state(leaving.sock, 8)  # waits for the close of the last client
     other.ask(99)
     resumed_at = time.monotonic()
     os.kill(service.process.pid, signal.SIGCONT)
@@ -349,7 +349,7 @@
     first_cache = until(lambda: next((cache for cache in caches if cache.wants), None))
     pause(service.process)
     client.sock.shutdown(socket.SHUT_WR)
-    at_its_peer(client.sock, 8)
+    wait_for_peer_state(client.sock, 8)
     first_cache.answer("%016x" % 1, "EIO")
     time.sleep(2 * CLIENT_CHECK_AFTER / SECOND)  # a txn that was taken a moment ago is not checked for a client that left
     os.kill(service.process.pid, signal.SIGCONT)
