--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -627,7 +627,7 @@
     finish_batch = start_batch
 
 
-class Standing(dict):
+class AlwaysOpenTxns(dict):
     """Open txns of a test that is not about clients: each hop's txn has just been taken, and stands."""
 
     def get(self, ident, _=None):
@@ -646,7 +646,7 @@
     answer_sender = AnswerSender(1 << 20)
     if open_txns is None:
         open_txns = OpenTxns()
-        open_txns.by_id = Standing()
+        open_txns.by_id = AlwaysOpenTxns()
     send = ConnectionPool(deployment(settings()), open_txns, answer_sender, lanes)
     send.host = Events()
     for name, where in {"c0": address, **others}.items():
