--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -610,7 +610,7 @@
         return self.process.wait(20)
 
 
-class Events:
+class PostedEvents:
     """In place of route: keeps what is posted."""
 
     hop_ended, txn_withdrawn = "hop_ended", "withdrawn"
@@ -648,7 +648,7 @@
         open_txns = OpenTxns()
         open_txns.by_id = AlwaysOpenTxns()
     send = ConnectionPool(deployment(settings()), open_txns, answer_sender, lanes)
-    send.host = Events()
+    send.host = PostedEvents()
     for name, where in {"c0": address, **others}.items():
         host, port = where.split(":")
         send.update_endpoint(name, (host, int(port)), state if name == "c0" else "up")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Cache, Client, Events, Listener, DiscoveryStub, clock, endpoint, sender, settings, until
+from helpers import Cache, Client, PostedEvents, Listener, DiscoveryStub, clock, endpoint, sender, settings, until
 
 from fieldspur.__main__ import Service as RouterService
 from fieldspur.host import RESULTS
@@ -605,7 +605,7 @@
     """Found at a restart: no txn was open any more, and the program ended before its last answer was written."""
     answer_sender, open_txns, seen_states = AnswerSender(1 << 20), OpenTxns(), []
     pool = ConnectionPool(deployment(settings()), open_txns, answer_sender, 4)
-    pool.host = Events()
+    pool.host = PostedEvents()
     client_writer = SimpleNamespace(answer=lambda *arguments: seen_states.append((answer_sender.all_delivered(), dict(open_txns.by_id))))
     open_txns.add(Txn(5, "a", 0, "media", "o", 0, 1, 1.0, None, None, b"", 0, 0, client_writer, 1))
     hop = Hop(5, 0, "a", "c0", None, resp.Want(*["x"] * 14), clock())
