--- a/fieldspur/fleet/admin.py
+++ b/fieldspur/fleet/admin.py
@@ -18,7 +18,7 @@
 from fieldspur.fleet import consensus, register_codec, work_orders
 from fieldspur.fleet.coordinator import Report, parse_report
 from fieldspur.fleet.work_requests import request_ident
-from fieldspur.operators import BadFile, Fleet, member, parse
+from fieldspur.operators import BadFile, Fleet, parse, parse_member
 
 ANSWER_TIMEOUT_S = 2.0  # for a member to accept a connection and to send its line
 POLL_INTERVAL_S = 0.1  # between two readings of the members' lines
@@ -86,7 +86,7 @@
     """The status of each member in the operators' file, or why it is unknown, by name."""
     statuses: dict[str, MemberStatus | str] = {}
     for name in sorted(fleet.members):
-        address, zone = member(fleet.members[name])
+        address, zone = parse_member(fleet.members[name])
         line = fetch_line(address)
         if line is None:
             statuses[name] = "can't be reached"
--- a/fieldspur/fleet/transport.py
+++ b/fieldspur/fleet/transport.py
@@ -21,7 +21,7 @@
 from fieldspur.fleet.work_requests import parse_requests
 from fieldspur.net.discovery import DiscoveryClient
 from fieldspur.net.invariants import contained_errors, keep_running
-from fieldspur.operators import Fleet, member
+from fieldspur.operators import Fleet, parse_member
 from fieldspur.record import replace
 
 log = logging.getLogger("fieldspur.fleet")
@@ -158,9 +158,9 @@
         self.member_lock = threading.Lock()
         self.line_changed = threading.Condition()
         self.reader_count = 0
-        self.listener = socket.create_server(member(settings.members[own_name])[0], backlog=min(512, len(settings.members)))
+        self.listener = socket.create_server(parse_member(settings.members[own_name])[0], backlog=min(512, len(settings.members)))
         self.peers = [
-            Peer(self, n, member(settings.members[name])[0], seed + n) for n, name in enumerate(self.voter_names) if name != own_name
+            Peer(self, n, parse_member(settings.members[name])[0], seed + n) for n, name in enumerate(self.voter_names) if name != own_name
         ]
         for peer in self.peers:
             peer.set_enabled(True)
@@ -309,7 +309,7 @@
             with self.member_lock:
                 self.member.failure_detector.forget(name)
         for n, name in enumerate(sorted(wanted - set(self.follower_peers)) if enabled else ()):
-            peer = self.follower_peers[name] = Peer(self, name, member(members[name])[0], self.seed + len(self.voter_names) + n)
+            peer = self.follower_peers[name] = Peer(self, name, parse_member(members[name])[0], self.seed + len(self.voter_names) + n)
             threading.Thread(target=keep_running, args=(f"fleet-{name}", peer.run), name=f"fleet-{name}", daemon=True).start()
         for peer in self.follower_peers.values():
             peer.set_enabled(enabled)
--- a/fieldspur/operators.py
+++ b/fieldspur/operators.py
@@ -140,7 +140,7 @@
     )
 
 
-def member(text: str) -> tuple[tuple[str, int], str]:
+def parse_member(text: str) -> tuple[tuple[str, int], str]:
     """Address and zone of a member; raises ValueError."""
     where, _, zone = text.partition(" ")
     try:
@@ -159,7 +159,7 @@
     seen = {}
     for name, text in value.members.items():
         try:
-            where, _ = member(text)
+            where, _ = parse_member(text)
         except ValueError as wrong:
             raise BadFile(f"{path}.members.{name}: {wrong}") from None
         if where in seen:
