--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -38,7 +38,7 @@
 KILLED_AFTER, BEFORE_IT = 3.0, 0.1  # so much later, or the longest time limit if that is less, SIGKILL may come; margin
 
 
-def fail(args) -> None:
+def exit_after_crash(args) -> None:
     """A router that looks alive and serves nothing is worse than none."""
     log.critical(
         "crashed",
@@ -184,7 +184,7 @@
     def reload(self) -> None:
         """Read the files again. One that can't be used changes nothing, nor does what a running router keeps."""
         try:
-            node, wishes = files_of(os.environ)
+            node, wishes = read_files(os.environ)
         except (ConfigError, BadFile) as bad:
             return log.error("kept", extra={"kv": {"why": str(bad)}})
         self.board.change_address(node.discovery_address, node.known_events)
@@ -232,7 +232,7 @@
     return read(environ["LB_OPERATORS"]) if environ.get("LB_OPERATORS") else Operators()
 
 
-def files_of(environ) -> tuple[Node, Operators]:
+def read_files(environ) -> tuple[Node, Operators]:
     """Both files, checked. Where the system has no room to open one now, that is tried again for a while. Raises ConfigError, BadFile."""
     return retry_while_exhausted(lambda: (read_node(environ), parse_requests(environ)), (UnreadableConfig, UnopenedFile), FILE_PAUSE)
 
@@ -243,10 +243,10 @@
 
 def main() -> int:
     threading.stack_size(STACK)
-    threading.excepthook = fail
+    threading.excepthook = exit_after_crash
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # in all threads; the main one waits for them
     try:
-        node, wishes = files_of(os.environ)
+        node, wishes = read_files(os.environ)
         logs.configure(level_of(node, wishes), wishes.log.lines_a_second)
         sys.setswitchinterval(wishes.interpreter.switch_ms / 1000)
         service = Service(node, wishes)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,7 +16,7 @@
 from test_first_bytes import listed_server, make_router_host
 
 from fieldspur import operators
-from fieldspur.__main__ import files_of
+from fieldspur.__main__ import read_files
 from fieldspur.decide import MS, SECOND
 from fieldspur.lab.soak import shim
 from fieldspur.net import discovery as discovery_module
@@ -382,8 +382,8 @@
         return open(path, *about)
 
     monkeypatch.setattr(operators, "open", failing_open, raising=False)
-    _, wishes = files_of({"LB_CONFIG": str(service.path), "LB_OPERATORS": str(service.folder / "operators.json")})
+    _, wishes = read_files({"LB_CONFIG": str(service.path), "LB_OPERATORS": str(service.folder / "operators.json")})
     assert wishes.counts.every_s == 7.0 and not errors_left
     errors_left.append(errno.EACCES)
     with pytest.raises(operators.BadFile, match="for a moment"):
-        files_of({"LB_CONFIG": str(service.path), "LB_OPERATORS": str(service.folder / "operators.json")})
+        read_files({"LB_CONFIG": str(service.path), "LB_OPERATORS": str(service.folder / "operators.json")})
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -500,7 +500,7 @@
 
 def test_an_exception_in_a_thread_ends_the_program():
     code = (
-        "import threading, time, fieldspur.__main__ as m; m.logs.configure(); threading.excepthook = m.fail\n"
+        "import threading, time, fieldspur.__main__ as m; m.logs.configure(); threading.excepthook = m.exit_after_crash\n"
         "threading.Thread(target=lambda: 1 / 0).start(); time.sleep(30)"
     )
     ended_process = subprocess.run([sys.executable, "-c", code], capture_output=True, timeout=20)
