--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -51,99 +51,101 @@
 class Service:
     """The stages, wired up, and their threads."""
 
-    def __init__(self, node: Node, wishes: Operators = Operators()):
-        site, self.node, self.wishes = node.site, node, wishes
-        share = wishes.memory
+    def __init__(self, node: Node, operator_settings: Operators = Operators()):
+        site, self.node, self.operator_settings = node.site, node, operator_settings
+        share = operator_settings.memory
         self.answer_sender = AnswerSender(max_held_bytes=int(node.memory * share.answers))
         self.open_txns = OpenTxns()
         # Descriptors: half for clients, who hold a third at most, a quarter for servers, the rest in reserve. A
         # connection to a server takes up to 0.6 MB, as measured: together they get under a third of the memory.
-        self.send = ConnectionPool(site, self.open_txns, self.answer_sender, min(node.sockets // 4, node.memory // LANE_MEMORY))
-        self.route = RouterHost(site, node.seed, self.open_txns, self.answer_sender, self.send)
+        self.connection_pool = ConnectionPool(site, self.open_txns, self.answer_sender, min(node.sockets // 4, node.memory // LANE_MEMORY))
+        self.router_host = RouterHost(site, node.seed, self.open_txns, self.answer_sender, self.connection_pool)
         overlay = None
-        if wishes.fleet.name:  # off by default; only then is any of it imported
-            if node.name not in wishes.fleet.members:
+        if operator_settings.fleet.name:  # off by default; only then is any of it imported
+            if node.name not in operator_settings.fleet.members:
                 raise BadFile(f"fleet.members: {node.name}, this router, is not among them")
             from fieldspur.fleet.list_overlay import ServerListOverlay
 
-            overlay = ServerListOverlay(self.route)
-        self.board = self.send.discovery = DiscoveryClient(node.discovery_address, overlay or self.route, node.seed)
-        self.board.apply_initial_events(node.known_events, node.known_revision)
+            overlay = ServerListOverlay(self.router_host)
+        self.discovery = self.connection_pool.discovery = DiscoveryClient(node.discovery_address, overlay or self.router_host, node.seed)
+        self.discovery.apply_initial_events(node.known_events, node.known_revision)
         self.client_listener = ClientListener(
             node.listen,
             node.sockets // 2,
             int(node.memory * share.frames),
             site.idle_timeout,
-            Admission(site, self.open_txns, self.route, int(node.memory * share.bodies)),
+            Admission(site, self.open_txns, self.router_host, int(node.memory * share.bodies)),
             self.open_txns,
-            self.route,
+            self.router_host,
             self.answer_sender,
         )
-        self.talk = None
+        self.transport = None
         if overlay is not None:
             from fieldspur.fleet.transport import StoreFailed, Transport
 
             try:
-                self.talk = Transport(wishes.fleet, node.name, node.seed, overlay)
+                self.transport = Transport(operator_settings.fleet, node.name, node.seed, overlay)
             except StoreFailed as wrong:
                 raise BadFile(f"fleet.folder: {wrong}") from None
             except OSError as wrong:
                 raise BadFile(f"fleet.members.{node.name}: {wrong.strerror}") from None
-        self.pause = self.pause_began = 0.0
-        self.longest = max((rule.time_limit for rule in site.rules), default=0) / 1e9
+        self.longest_pause = self.pause_started = 0.0
+        self.longest_time_limit = max((rule.time_limit for rule in site.rules), default=0) / 1e9
 
     def start(self) -> None:
         # Guards against routing on the file's list while the board holds drains that it lacks: found on herd+mass,
         # where restarted routers named a draining parent before they had asked the board. Bounded, so a router without
         # a board starts; txns that come meanwhile wait at the gate, or are turned away in time.
-        wait = self.wishes.start.board_wait_s
-        self.route.gate = StartupGate(time.monotonic_ns() + MONOTONIC_TO_UNIX_NS, int(wait * 1e9), self.wishes.start.most_waiting)
+        wait = self.operator_settings.start.board_wait_s
+        self.router_host.gate = StartupGate(
+            time.monotonic_ns() + MONOTONIC_TO_UNIX_NS, int(wait * 1e9), self.operator_settings.start.most_waiting
+        )
         for name, run in (
-            ("board", self.board.run),
-            ("route", self.route.run),
+            ("board", self.discovery.run),
+            ("route", self.router_host.run),
             ("takein", self.client_listener.run),
             ("watch", self.client_listener.run_sweep),
-            ("counts", self.tell),
+            ("counts", self.log_counts_regularly),
         ):
             threading.stack_size(DEEP_STACK if name == "board" else STACK)
             threading.Thread(target=keep_running, args=(name, run), name=name, daemon=True).start()
-        if self.talk is not None:
+        if self.transport is not None:
             threading.stack_size(DEEP_STACK)
-            self.talk.start()
+            self.transport.start()
             threading.stack_size(STACK)
-        threading.Thread(target=keep_running, args=("open", lambda: self.open(wait)), name="open", daemon=True).start()
+        threading.Thread(target=keep_running, args=("open", lambda: self.open_gate(wait)), name="open", daemon=True).start()
 
-    def open(self, wait: float) -> None:
+    def open_gate(self, wait: float) -> None:
         """Once the board has told what it holds, or has said nothing for `wait` seconds, the gate opens. A thread of its own, for a
         signal may come meanwhile: an end that began first leaves the router not ready, and files are read again at once."""
         began = time.monotonic()
-        told = self.board.caught_up.wait(wait)
+        told = self.discovery.caught_up.wait(wait)
         if not told:
-            self.board.excused_line_at = self.board.last_line_at
-        if self.talk is not None and not self.talk.state_known.wait(max(0.0, wait - (time.monotonic() - began))):
+            self.discovery.excused_line_at = self.discovery.last_line_at
+        if self.transport is not None and not self.transport.state_known.wait(max(0.0, wait - (time.monotonic() - began))):
             log.warning("fleet_unheard", extra={"kv": {"why": "no member told what is out for work; the board's list stands"}})
-        self.route.post(self.route.open_gate, "current" if told else "no word of the board")
-        if self.talk is not None:
-            self.talk.overlay.startup_gate_opened()
+        self.router_host.post(self.router_host.open_gate, "current" if told else "no word of the board")
+        if self.transport is not None:
+            self.transport.overlay.startup_gate_opened()
         if self.client_listener.set_ready():
             log.info("ready", extra={"kv": {"name": self.node.name, "listen": "%s:%d" % self.node.listen}})
 
-    def pauses(self, phase: str, _about: dict) -> None:
+    def garbage_collector_paused(self, phase: str, _about: dict) -> None:
         """What the collector of garbage holds up."""
         if phase == "start":
-            self.pause_began = time.monotonic()
+            self.pause_started = time.monotonic()
         else:
-            self.pause = max(self.pause, time.monotonic() - self.pause_began)
+            self.longest_pause = max(self.longest_pause, time.monotonic() - self.pause_started)
 
-    def tell(self) -> None:
+    def log_counts_regularly(self) -> None:
         while True:
-            time.sleep(self.wishes.counts.every_s)
-            self.counts("counts")
+            time.sleep(self.operator_settings.counts.every_s)
+            self.log_counts("counts")
 
-    def counts(self, event: str) -> None:
-        pause, self.pause = self.pause, 0.0
-        lag, self.route.max_lag = self.route.max_lag, 0
-        waited, self.board.longest_wait = self.board.longest_wait, 0.0
+    def log_counts(self, event: str) -> None:
+        pause, self.longest_pause = self.longest_pause, 0.0
+        lag, self.router_host.max_lag = self.router_host.max_lag, 0
+        waited, self.discovery.longest_wait = self.discovery.longest_wait, 0.0
         log.info(
             event,
             extra={
@@ -151,7 +153,7 @@
                     **self.open_txns.counts,
                     "open": len(self.open_txns.by_id),
                     "clients": len(self.client_listener.clients),
-                    "lanes": self.send.connection_count(),
+                    "lanes": self.connection_pool.connection_count(),
                     "threads": threading.active_count(),
                     "lag_ms": lag // MS,
                     "pause_ms": int(pause * 1000),
@@ -161,44 +163,55 @@
                     "cpu": time.process_time(),
                     "system": os.times().system,
                     "peak_mb": logs.peak_memory_mb(),
-                    "list_changes": self.board.list_changes,
-                    "purges": self.board.purges,
-                    "rev": self.board.last_number,
+                    "list_changes": self.discovery.list_changes,
+                    "purges": self.discovery.purges,
+                    "rev": self.discovery.last_number,
                     "broken": sum(invariants.violation_counts.values()),
-                    **self.reasons(),
-                    **{f"shape_{kind}": n for kind, n in self.route.router.shape_differences.items()},
+                    **self.counts_by_reason(),
+                    **{f"shape_{kind}": n for kind, n in self.router_host.router.shape_differences.items()},
                 }
             },
         )
 
-    def reasons(self) -> dict[str, int]:
+    def counts_by_reason(self) -> dict[str, int]:
         """How often something ended, was refused, given up or closed, by reason."""
-        gave_up, attempts = self.route.router.give_up_counts, self.route.attempts
+        gave_up, attempts = self.router_host.router.give_up_counts, self.router_host.attempts
         counts = {f"attempts_{result}": attempts[result] for result in RESULTS if attempts[result]}
-        counts |= self.send.refusals.log_fields("refused") | self.client_listener.admission.refusals.log_fields("refused")
+        counts |= self.connection_pool.refusals.log_fields("refused") | self.client_listener.admission.refusals.log_fields("refused")
         # Over the enum, not the dict: the Router's thread adds to that meanwhile.
         counts |= {f"gave_up_{why.value}": gave_up[why] for why in GiveUp if why in gave_up}
         counts |= contained_errors.log_fields()
-        return counts | self.send.connection_ends.log_fields("connections") | self.client_listener.close_reasons.log_fields("closed")
+        return (
+            counts
+            | self.connection_pool.connection_ends.log_fields("connections")
+            | self.client_listener.close_reasons.log_fields("closed")
+        )
 
     def reload(self) -> None:
         """Read the files again. One that can't be used changes nothing, nor does what a running router keeps."""
         try:
-            node, wishes = read_files(os.environ)
+            node, operator_settings = read_files(os.environ)
         except (ConfigError, BadFile) as bad:
             return log.error("kept", extra={"kv": {"why": str(bad)}})
-        self.board.change_address(node.discovery_address, node.known_events)
+        self.discovery.change_address(node.discovery_address, node.known_events)
         kept = differences(self.node, node)
-        kept += [key for key in ("memory", "interpreter", "start") if getattr(wishes, key) != getattr(self.wishes, key)]
-        first = wishes.fleet.first
-        if self.talk is not None:
-            if first and not self.wishes.fleet.first:  # an operator's word, not one left in the file
-                self.talk.found_fleet()
-            kept += [] if self.talk.reload(wishes.fleet) else ["fleet"]
-        elif wishes.fleet != self.wishes.fleet:
+        kept += [
+            key for key in ("memory", "interpreter", "start") if getattr(operator_settings, key) != getattr(self.operator_settings, key)
+        ]
+        first = operator_settings.fleet.first
+        if self.transport is not None:
+            if first and not self.operator_settings.fleet.first:  # an operator's word, not one left in the file
+                self.transport.found_fleet()
+            kept += [] if self.transport.reload(operator_settings.fleet) else ["fleet"]
+        elif operator_settings.fleet != self.operator_settings.fleet:
             kept.append("fleet")
-        self.wishes = replace(self.wishes, log=wishes.log, counts=wishes.counts, fleet=replace(self.wishes.fleet, first=first))
-        logs.configure(level_of(node, wishes), wishes.log.lines_a_second)
+        self.operator_settings = replace(
+            self.operator_settings,
+            log=operator_settings.log,
+            counts=operator_settings.counts,
+            fleet=replace(self.operator_settings.fleet, first=first),
+        )
+        logs.configure(level_of(node, operator_settings), operator_settings.log.lines_a_second)
         log.log(
             logging.WARNING if kept else logging.INFO,
             "reloaded",
@@ -212,13 +225,13 @@
         self.client_listener.announce_end()
         time.sleep(STILL_COMING)
         self.client_listener.stop_listening()
-        killed_at = began + STILL_COMING + min(self.longest, KILLED_AFTER)
-        left = min(self.longest, KILLED_AFTER) - BEFORE_IT
+        killed_at = began + STILL_COMING + min(self.longest_time_limit, KILLED_AFTER)
+        left = min(self.longest_time_limit, KILLED_AFTER) - BEFORE_IT
         self.client_listener.admission.latest_deadline = time.monotonic_ns() + MONOTONIC_TO_UNIX_NS + int(left * 1e9)
-        while (took := time.monotonic() - began) < self.longest + STILL_COMING:
+        while (took := time.monotonic() - began) < self.longest_time_limit + STILL_COMING:
             late = took > STILL_COMING + left
             if late and self.open_txns.by_id:
-                self.route.post(self.route.end_open_txns)
+                self.router_host.post(self.router_host.end_open_txns)
             if may_exit(self.client_listener.shut_connections(late), len(self.open_txns.by_id), not self.answer_sender.all_delivered()):
                 break
             time.sleep(0.01)
@@ -237,8 +250,8 @@
     return retry_while_exhausted(lambda: (read_node(environ), parse_requests(environ)), (UnreadableConfig, UnopenedFile), FILE_PAUSE)
 
 
-def level_of(node: Node, wishes: Operators) -> int:
-    return logging.DEBUG if node.debug else getattr(logging, wishes.log.level.upper())
+def level_of(node: Node, operator_settings: Operators) -> int:
+    return logging.DEBUG if node.debug else getattr(logging, operator_settings.log.level.upper())
 
 
 def main() -> int:
@@ -246,10 +259,10 @@
     threading.excepthook = exit_after_crash
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)  # in all threads; the main one waits for them
     try:
-        node, wishes = read_files(os.environ)
-        logs.configure(level_of(node, wishes), wishes.log.lines_a_second)
-        sys.setswitchinterval(wishes.interpreter.switch_ms / 1000)
-        service = Service(node, wishes)
+        node, operator_settings = read_files(os.environ)
+        logs.configure(level_of(node, operator_settings), operator_settings.log.lines_a_second)
+        sys.setswitchinterval(operator_settings.interpreter.switch_ms / 1000)
+        service = Service(node, operator_settings)
     except (ConfigError, BadFile) as bad:
         print(f"fieldspur: {bad}", file=sys.stderr)
         return 2
@@ -257,8 +270,8 @@
         print(f"fieldspur: listen: {wrong.strerror}", file=sys.stderr)
         return 1
     gc.freeze()
-    gc.set_threshold(wishes.interpreter.collect_after, *GARBAGE)
-    gc.callbacks.append(service.pauses)
+    gc.set_threshold(operator_settings.interpreter.collect_after, *GARBAGE)
+    gc.callbacks.append(service.garbage_collector_paused)
     service.start()
     # Without a time limit: one that passes while the process is stopped makes up a signal that nobody sent.
     while signal.sigwait(SIGNALS) == signal.SIGHUP:
@@ -268,7 +281,7 @@
             contained_errors.record("reload")
     log.info("ending", extra={"kv": {"open": len(service.open_txns.by_id)}})
     service.end()
-    service.counts("ended")
+    service.log_counts("ended")
     logging.shutdown()
     os._exit(0)  # daemon threads hold nothing that needs care
 
--- a/fieldspur/bench/count.py
+++ b/fieldspur/bench/count.py
@@ -120,7 +120,7 @@
     def settle(self) -> None:
         """Until the router has done all that follows an answer: its threads stand still."""
         end = time.monotonic() + 5
-        while self.service.route.hops or self.service.route.queue or self.service.route.router_thread is not None:
+        while self.service.router_host.hops or self.service.router_host.queue or self.service.router_host.router_thread is not None:
             if time.monotonic() > end:
                 raise BenchFailed("the router does not come to rest")
             time.sleep(0.0002)
--- a/tests/router_processes.py
+++ b/tests/router_processes.py
@@ -6,7 +6,7 @@
 import socket
 import time
 
-from helpers import Cache, Link, DiscoveryStub, Service, SettableClock, settings, until
+from helpers import Cache, DiscoveryStub, Link, Service, SettableClock, settings, until
 
 from fieldspur.bench.path import free_port
 from fieldspur.fleet import register_codec, work_orders
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,13 +20,13 @@
     Referee,
     SettableClock,
     Stalled,
-    wait_for_peer_state,
     clock,
-    pause,
     hold_server_readers,
+    pause,
     sender,
     settings,
     until,
+    wait_for_peer_state,
 )
 
 from fieldspur.decide import MS, SECOND
--- a/tests/test_first_bytes.py
+++ b/tests/test_first_bytes.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from helpers import Cache, Listener, DiscoveryStub, Stalled, clock, endpoint, hold_server_readers, sender, until
+from helpers import Cache, DiscoveryStub, Listener, Stalled, clock, endpoint, hold_server_readers, sender, until
 from test_path import enqueue_and_write, make_want
 
 from fieldspur.net import resp
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Cache, Client, PostedEvents, Listener, DiscoveryStub, clock, endpoint, sender, settings, until
+from helpers import Cache, Client, DiscoveryStub, Listener, PostedEvents, clock, endpoint, sender, settings, until
 
 from fieldspur.__main__ import Service as RouterService
 from fieldspur.host import RESULTS
@@ -261,7 +261,9 @@
 
     assert 0 < int(until(purge_applies, "a purge")) <= (time.monotonic() - purged_at) * 1000  # a copy must not be older than the purge
     name = "c0" if home_cache is cache else "c1"
-    service.discovery.add_event(3, pool={"index": 2, "snapshot": False, "endpoints": [endpoint(name, home_cache.address, status="draining")]})
+    service.discovery.add_event(
+        3, pool={"index": 2, "snapshot": False, "endpoints": [endpoint(name, home_cache.address, status="draining")]}
+    )
 
     def drain_applies():
         client.stream += 1
@@ -280,7 +282,9 @@
     time.sleep(0.1)
     service.discovery.reset()
     until(lambda: service.discovery.watch_revisions[-1] == 2 and len(service.discovery.watch_revisions) > 1, "a second watch")
-    service.discovery.add_event(4, flush={"collection": 9, "ms": 1})  # event 3 is missing: the router watches again and does not apply event 4
+    service.discovery.add_event(
+        4, flush={"collection": 9, "ms": 1}
+    )  # event 3 is missing: the router watches again and does not apply event 4
     until(lambda: len(service.discovery.watch_revisions) > 3 and service.discovery.watch_revisions[-1] == 2, "a watch after a gap")
     service.discovery.events.insert(-1, {"rev": 3, "flush": {"collection": 7, "ms": int(time.time() * 1000) - 50}})
     until(lambda: "followed by 4" in service.lines())
@@ -489,7 +493,7 @@
     service.path.write_text(json.dumps(service.conf))
     local_service = RouterService(read_node({"LB_CONFIG": str(service.path)}))
     local_service.client_listener.stop_listening()
-    assert local_service.send.max_connections == 16 and local_service.client_listener.max_clients == 512
+    assert local_service.connection_pool.max_connections == 16 and local_service.client_listener.max_clients == 512
 
 
 def test_a_faulty_key_ends_the_program_with_code_2(run):
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -202,7 +202,14 @@
 
     class RestartedDiscovery(DiscoveryStub):
         def __init__(self):
-            self.events, self.watch_revisions, self.sent_revisions, self.wait, self.numbers, self.conns = [drain_event(caches)], [], [], 0.0, True, []
+            self.events, self.watch_revisions, self.sent_revisions, self.wait, self.numbers, self.conns = (
+                [drain_event(caches)],
+                [],
+                [],
+                0.0,
+                True,
+                [],
+            )
             self.sock = socket.create_server(("127.0.0.1", port))
             threading.Thread(target=self.run, daemon=True).start()
 
