--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -270,7 +270,7 @@
         found["passed"] = not found["missed"]
         return found
 
-    def floor(self) -> float:
+    def min_length(self) -> float:
         """s that no plan within the bounds can be shorter than, as the planner says for the machines as they are."""
         fleet, servers = self.plan.fleet, self.plan.servers
         machines = {
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -12,7 +12,7 @@
 
 PLANTED = {  # by the invariant that has to find it
     "deadline": "from fieldspur.net import resp\nwant = resp.encode_want\n"
-    "def late(one):\n    one.limit_ms += 400\n    return want(one)\nresp.want = late\n",
+    "def late(one):\n    one.limit_ms += 400\n    return want(one)\nresp.encode_want = late\n",
     "final_answer": "from fieldspur.net.client_writer import ClientWriter\nanswer = ClientWriter.answer\n"
     "ClientWriter.answer = lambda self, stream, *about, **more: stream % 7 and answer(self, stream, *about, **more)\n",
 }
