--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -228,7 +228,7 @@
         if plan.far is not None or simulated:
             found = simulation.play(plan)
         else:
-            found = scenario_run.play(plan, build=build, logs=logs, live=reporting.Live() if top else None)
+            found = scenario_run.run_scenario(plan, build=build, logs=logs, live=reporting.Live() if top else None)
     except scenario_run.LabFailed as wrong:
         raise click.ClickException(str(wrong)) from None
     except BadFile as wrong:
@@ -283,7 +283,7 @@
         if (path / "fieldspur").is_dir():
             if plan.far is not None:
                 raise Bad(f"{name}: plays in simulated time, which knows one build only")
-            return scenario_run.play(plan, build=where)
+            return scenario_run.run_scenario(plan, build=where)
         try:
             found = json.loads((path / "figures.json" if path.is_dir() else path).read_text())
             found = found[0] if isinstance(found, list) else found
@@ -328,7 +328,7 @@
     found = []
     try:
         for way in ("fleet", "hand", "untouched"):
-            found.append(scenario_run.play(msgspec.structs.replace(plan, fleet=msgspec.structs.replace(plan.fleet, way=way))))
+            found.append(scenario_run.run_scenario(msgspec.structs.replace(plan, fleet=msgspec.structs.replace(plan.fleet, way=way))))
             found[-1]["build"] = way
     except scenario_run.LabFailed as wrong:
         raise click.ClickException(str(wrong)) from None
@@ -347,7 +347,7 @@
     if plan.far is not None:
         raise Bad(f"{name}: plays in simulated time; there is nothing to watch")
     try:
-        found = scenario_run.play(plan, live=reporting.Live())
+        found = scenario_run.run_scenario(plan, live=reporting.Live())
     except scenario_run.LabFailed as wrong:
         raise click.ClickException(str(wrong)) from None
     except KeyboardInterrupt:
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -418,7 +418,9 @@
     return lines
 
 
-def play(plan, build: str | None = None, logs: str | None = None, command: list | None = None, live: Callable | None = None) -> dict:
+def run_scenario(
+    plan, build: str | None = None, logs: str | None = None, command: list | None = None, live: Callable | None = None
+) -> dict:
     """Figures of one run; `passed` is false where a rule or an expectation broke. Raises LabFailed."""
     kind = Play
     if plan.fleet is not None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -64,13 +64,15 @@
 @pytest.fixture(scope="module")
 def runs():
     """A whole router, alone on the machine, and routers that break one rule each, side by side."""
-    whole = scenario_run.play(small())
+    whole = scenario_run.run_scenario(small())
     start = "import sys\nfrom fieldspur.__main__ import main\nsys.exit(main())\n"
     with ThreadPoolExecutor(5) as pool:
         broken = dict(
             zip(
                 SABOTAGE,
-                pool.map(lambda code: scenario_run.play(small(), command=[sys.executable, "-O", "-c", code + start]), SABOTAGE.values()),
+                pool.map(
+                    lambda code: scenario_run.run_scenario(small(), command=[sys.executable, "-O", "-c", code + start]), SABOTAGE.values()
+                ),
             )
         )
     return whole, broken
@@ -95,7 +97,7 @@
     whole["load"]["classes"][0]["rate"] /= 2
     plan = scenario.parse(json.dumps(whole).encode(), seconds=14.2, faults=[fault for fault in whole["faults"] if fault["at"] < 14.2])
     start = "import sys\nfrom fieldspur.__main__ import main\nsys.exit(main())\n"
-    good = scenario_run.play(plan, command=[sys.executable, "-O", "-c", start])
+    good = scenario_run.run_scenario(plan, command=[sys.executable, "-O", "-c", start])
     assert good["passed"], good["missed"]
 
 
@@ -463,13 +465,13 @@
     from rich.console import Console
 
     console = Console(record=True, width=140, force_terminal=True)
-    scenario_run.play(small(seconds=1.5, faults=[]), live=report.Live(console))
+    scenario_run.run_scenario(small(seconds=1.5, faults=[]), live=report.Live(console))
     assert "router 0" in (shown := console.export_text()) and "cache-3" in shown
 
 
 def test_a_router_that_does_not_come_up_is_reported():
     with pytest.raises(scenario_run.LabFailed, match="did not come up"):
-        scenario_run.play(small(seconds=2, faults=[]), command=[sys.executable, "-c", "raise SystemExit(3)"])
+        scenario_run.run_scenario(small(seconds=2, faults=[]), command=[sys.executable, "-c", "raise SystemExit(3)"])
 
 
 def test_restarts_and_moves_under_load_with_slow_and_bad_clients_lose_nothing():
@@ -494,7 +496,7 @@
             {"at": 4, "what": "board_break"},
         ],
     )
-    found = scenario_run.play(plan)
+    found = scenario_run.run_scenario(plan)
     assert found["passed"], found["missed"]
     assert found["completed"] > 0.8 and found["bad_clients"]["sent"] > 10 and not found["bad_clients"]["no_end"]
 
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -69,13 +69,13 @@
 @pytest.fixture(scope="module")
 def runs():
     start = "import sys\nfrom fieldspur.__main__ import main\nsys.exit(main())\n"
-    whole = scenario_run.play(small())
+    whole = scenario_run.run_scenario(small())
     with ThreadPoolExecutor(2) as pool:
         broken = dict(
             zip(
                 SABOTAGE,
                 pool.map(
-                    lambda code: scenario_run.play(small(faults=LATE), command=[sys.executable, "-O", "-c", code + start]),
+                    lambda code: scenario_run.run_scenario(small(faults=LATE), command=[sys.executable, "-O", "-c", code + start]),
                     SABOTAGE.values(),
                 ),
             )
@@ -202,13 +202,13 @@
 @pytest.mark.parametrize("code", [NEVER_BACK, NEVER_THERE], ids=["never_back", "never_there"])
 def test_the_laboratory_gives_its_figures_whatever_the_routers_do(code):
     """Seen from outside: a play whose routers did not come back ended with code 1 and no figures."""
-    found = scenario_run.play(small(seconds=8), command=[sys.executable, "-O", "-c", code])
+    found = scenario_run.run_scenario(small(seconds=8), command=[sys.executable, "-O", "-c", code])
     assert not found["passed"] and found["crashed"] and found["completed"] > 0
 
 
 def test_a_fault_that_a_play_does_not_know_is_refused_by_its_key():
     with pytest.raises(BadFile, match=r"faults\[0\].what: watch_cut"):
-        scenario_run.play(small(faults=[{"at": 3, "what": "watch_cut", "who": "0", "lasts": 1}]))
+        scenario_run.run_scenario(small(faults=[{"at": 3, "what": "watch_cut", "who": "0", "lasts": 1}]))
 
 
 def test_a_disk_that_fails_is_played_and_costs_no_router():
@@ -218,6 +218,6 @@
         {"at": 4.3, "what": "router_kill", "who": "0,1", "lasts": 0.5},
     ]
     expect = {"completed": 0.8}
-    found = scenario_run.play(small(seconds=10, faults=faults, expect=expect, fleet=SMALL["fleet"] | {"folder": True, "work": []}))
+    found = scenario_run.run_scenario(small(seconds=10, faults=faults, expect=expect, fleet=SMALL["fleet"] | {"folder": True, "work": []}))
     assert found["passed"], found["missed"]
     assert found["calls_failed"]["disk"] > 0
