--- a/fieldspur/cli.py
+++ b/fieldspur/cli.py
@@ -226,7 +226,7 @@
     plan = scenario_of(name, seed, seconds)
     try:
         if plan.far is not None or simulated:
-            found = simulation.play(plan)
+            found = simulation.run_simulation(plan)
         else:
             found = scenario_run.run_scenario(plan, build=build, logs=logs, live=reporting.Live() if top else None)
     except scenario_run.LabFailed as wrong:
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -348,7 +348,7 @@
             self.clock.later(int(self.size.tick_ms * MS), self.sample)
 
 
-def play(plan) -> dict:
+def run_simulation(plan) -> dict:
     """Figures like a run's on sockets, and what the run itself took. A scenario without `far` plays at its own size."""
     size = plan.far or Far(routers=plan.routers, caches=plan.servers.caches, zones=1, parents=plan.servers.parents)
     for n, fault in enumerate(plan.faults):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -338,12 +338,12 @@
 
 
 def test_a_run_in_simulated_time_is_the_same_each_time_and_keeps_the_rules():
-    first, second = (simulation.play(small(seconds=4)) for _ in range(2))
+    first, second = (simulation.run_simulation(small(seconds=4)) for _ in range(2))
     for row in (first, second):
         for name in ("took_s", "us_a_txn", "memory_mb"):
             row.pop(name)
     assert first == second and first["passed"] and first["txns"] > 150
-    assert simulation.play(small(seconds=4, seed=6))["ticks"] != first["ticks"]
+    assert simulation.run_simulation(small(seconds=4, seed=6))["ticks"] != first["ticks"]
 
 
 def test_large_size_is_spread_over_locations():
@@ -352,13 +352,13 @@
         far={"routers": 12, "caches": 24, "zones": 3, "parents": 3},
         faults=[{"at": 1, "what": "die", "who": "caches", "share": 0.33, "lasts": 1}, {"at": 1.5, "what": "purge"}],
     )
-    found = simulation.play(plan)
+    found = simulation.run_simulation(plan)
     assert found["passed"] and found["size"]["caches"] == 24 and found["completed"] > 0.8, found["missed"]
 
 
 def test_a_fault_that_needs_sockets_is_named_in_simulated_time():
     with pytest.raises(operators.BadFile, match=r"faults\[0\].what: garble"):
-        simulation.play(small(faults=[{"at": 1, "what": "garble", "who": "caches"}]))
+        simulation.run_simulation(small(faults=[{"at": 1, "what": "garble", "who": "caches"}]))
 
 
 def test_a_body_that_is_cut_changed_or_another_s_is_not_taken():
