--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -15,7 +15,7 @@
 from fieldspur.lab.emulate.faults import BACK_AFTER
 from fieldspur.lab.emulate.peer_links import Relay
 from fieldspur.lab.emulate.server_model import MS, SECOND
-from fieldspur.lab.runs.scenario_run import Node, Play
+from fieldspur.lab.runs.scenario_run import Node, ScenarioRun
 
 HOST = "127.%d.%d.3" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # else a link may connect to itself
 FOUND_WAIT = 15 * SECOND
@@ -59,7 +59,7 @@
             path.unlink()
 
 
-class Rig(Play):
+class Rig(ScenarioRun):
     NODE = Member
 
     def __init__(self, plan, *about):
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -120,7 +120,7 @@
             self.log.close()
 
 
-class Play:
+class ScenarioRun:
     NODE, WORLD, LOAD = Node, World, Load
     SHIMS = False  # routers run under the fault shim also where no fault of the scenario wants it
 
@@ -422,7 +422,7 @@
     plan, build: str | None = None, logs: str | None = None, command: list | None = None, live: Callable | None = None
 ) -> dict:
     """Figures of one run; `passed` is false where a rule or an expectation broke. Raises LabFailed."""
-    kind = Play
+    kind = ScenarioRun
     if plan.fleet is not None:
         from fieldspur.lab.runs.fleet_run import Rig as kind
     return kind(plan, build, logs, command, live).run()
--- a/fieldspur/lab/soak/play.py
+++ b/fieldspur/lab/soak/play.py
@@ -15,7 +15,7 @@
 from fieldspur.lab.emulate import wire
 from fieldspur.lab.emulate.event_loop import Conn
 from fieldspur.lab.emulate.server_model import MS, SECOND
-from fieldspur.lab.runs.scenario_run import LabFailed, Play
+from fieldspur.lab.runs.scenario_run import LabFailed, ScenarioRun
 from fieldspur.lab.soak import plan as planning
 from fieldspur.lab.soak.clients import SoakLoad
 from fieldspur.lab.soak.node import AFTER, BEFORE, SoakNode
@@ -36,7 +36,7 @@
 CROWD_AT_ONCE, CROWD_PAUSE, CROWD_AFTER = 10, 20 * MS, SECOND  # idle connections opened together; until the next; until their end is seen
 
 
-class Soak(Play):
+class Soak(ScenarioRun):
     NODE, WORLD, LOAD = SoakNode, SoakWorld, SoakLoad
     SHIMS = True
 
