--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -59,7 +59,7 @@
             path.unlink()
 
 
-class Rig(ScenarioRun):
+class FleetRun(ScenarioRun):
     NODE = Member
 
     def __init__(self, plan, *about):
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -424,5 +424,5 @@
     """Figures of one run; `passed` is false where a rule or an expectation broke. Raises LabFailed."""
     kind = ScenarioRun
     if plan.fleet is not None:
-        from fieldspur.lab.runs.fleet_run import Rig as kind
+        from fieldspur.lab.runs.fleet_run import FleetRun as kind
     return kind(plan, build, logs, command, live).run()
