--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -77,7 +77,7 @@
 class RouterHost:
     """The host of one Router in simulated time."""
 
-    def __init__(self, world: World, number: int, zone: int, site):
+    def __init__(self, world: SimulatedWorld, number: int, zone: int, site):
         self.world, self.number, self.zone = world, number, zone
         self.clock = world.clock
         self.open: dict[int, Txn] = {}
@@ -191,7 +191,7 @@
         self.world.said[text.split(" for ")[0].rpartition(" ")[0] + " " + text.rpartition(": ")[2]] += 1
 
 
-class World(Faults):
+class SimulatedWorld(Faults):
     """All routers and servers of a scenario in one simulated time."""
 
     def __init__(self, plan, size: Far):
@@ -354,7 +354,7 @@
     for n, fault in enumerate(plan.faults):
         if fault.what not in KNOWN:
             raise BadFile(f"faults[{n}].what: {fault.what} needs sockets")
-    began, world = time.monotonic(), World(plan, size)
+    began, world = time.monotonic(), SimulatedWorld(plan, size)
     for row in plan.load.classes:
         objects = catalog.Popular(row, plan.seed, catalog.kind(row.rule) == "repeatable")
         world.plan_next(row, objects, catalog.Arrivals(row, plan.load.waves, plan.seed), 0.0)
@@ -366,7 +366,7 @@
     return figures(world, time.monotonic() - began)
 
 
-def figures(world: World, took: float) -> dict:
+def figures(world: SimulatedWorld, took: float) -> dict:
     plan, counted = world.plan, world.outcomes.figures(world.store)
     found = {
         "scenario": plan.name,
