--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -15,14 +15,14 @@
 from fieldspur.lab.emulate.faults import BACK_AFTER
 from fieldspur.lab.emulate.peer_links import Relay
 from fieldspur.lab.emulate.server_model import MS, SECOND
-from fieldspur.lab.runs.scenario_run import Node, ScenarioRun
+from fieldspur.lab.runs.scenario_run import RouterProcess, ScenarioRun
 
 HOST = "127.%d.%d.3" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # else a link may connect to itself
 FOUND_WAIT = 15 * SECOND
 AGAIN = 100 * MS  # a member that does not publish is asked again
 
 
-class Member(Node):
+class FleetMember(RouterProcess):
     """A router with an operators' file."""
 
     def __init__(self, *about):
@@ -34,7 +34,7 @@
         self.wishes: list[dict] = []
         self.first = False
 
-    def write_wishes(self, members: list[Member]) -> None:
+    def write_wishes(self, members: list[FleetMember]) -> None:
         fleet = self.world.plan.fleet
         value = {
             "name": "lab",
@@ -60,7 +60,7 @@
 
 
 class FleetRun(ScenarioRun):
-    NODE = Member
+    ROUTER = FleetMember
 
     def __init__(self, plan, *about):
         super().__init__(plan, *about)
@@ -107,12 +107,12 @@
         self.told(node)
         self.loop.later(SECOND if node.first else AGAIN, lambda: self.found(until))
 
-    def told(self, node: Member) -> None:
+    def told(self, node: FleetMember) -> None:
         node.write_wishes(self.nodes)
         if node.process.poll() is None:
             node.process.send_signal(signal.SIGHUP)
 
-    def watch(self, node: Member) -> None:
+    def watch(self, node: FleetMember) -> None:
         """The laboratory's own look at what a member publishes, not over a link."""
         conn = self.loop.connect(node.where)
 
@@ -188,7 +188,7 @@
 
     # What goes wrong with routers and between them.
 
-    def routers(self, who: str) -> list[Member]:
+    def routers(self, who: str) -> list[FleetMember]:
         if who == "acting":
             return [self.nodes[self.orders.acting[-1][1]]] if self.orders.acting else []
         return super().routers(who)
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -34,7 +34,7 @@
     """The scenario could not be played; the text says why."""
 
 
-class Node:
+class RouterProcess:
     """One router as a process."""
 
     def __init__(self, number: int, world: World, where: Path, build: Path, command: list | None, logs: Path | None):
@@ -121,7 +121,7 @@
 
 
 class ScenarioRun:
-    NODE, WORLD, LOAD = Node, World, Load
+    ROUTER, WORLD, LOAD = RouterProcess, World, Load
     SHIMS = False  # routers run under the fault shim also where no fault of the scenario wants it
 
     def make_checker(self) -> Checker:
@@ -137,7 +137,7 @@
         folder = Path(logs) if logs else None
         if folder:
             folder.mkdir(parents=True, exist_ok=True)
-        self.nodes = [self.NODE(n, self.world, Path(self.folder.name), self.build, command, folder) for n in range(plan.routers)]
+        self.nodes = [self.ROUTER(n, self.world, Path(self.folder.name), self.build, command, folder) for n in range(plan.routers)]
         self.world.others = {
             "router_restart": self.router_restart,
             "reload": self.reload,
@@ -148,7 +148,7 @@
         if self.SHIMS or any(fault.what in shim.CALLS for fault in plan.faults):
             self.put_shims()
         self.load: Load | None = None
-        self.missing: list[Node] = []  # routers that did not come up before the load
+        self.missing: list[RouterProcess] = []  # routers that did not come up before the load
         self.curve: list[dict] = []
 
     def refuse_unknown(self) -> None:
@@ -175,7 +175,7 @@
         if fault.lasts:
             self.loop.later(int(fault.lasts * SECOND), undo)
 
-    def each(self, fault, setting: Callable[[Node], object], after: Callable[[Node], object]) -> None:
+    def each(self, fault, setting: Callable[[RouterProcess], object], after: Callable[[RouterProcess], object]) -> None:
         """Set something at the routers that the fault names, and undo it once it is over."""
         nodes = self.routers(fault.who)
         for node in nodes:
@@ -186,7 +186,7 @@
         name = shim.CALLS[fault.what]
         self.each(fault, lambda node: node.shim.rate(name, int(fault.times)), lambda node: node.shim.rate(name, 0))
 
-    def node(self, fault) -> Node:
+    def node(self, fault) -> RouterProcess:
         return self.nodes[int(fault.who or 0) % len(self.nodes)]
 
     def router_restart(self, fault) -> None:
@@ -204,7 +204,7 @@
 
         look()
 
-    def again(self, node: Node) -> None:
+    def again(self, node: RouterProcess) -> None:
         """A router that ended starts; clients come once it is ready. One that another fault has started meanwhile is left alone."""
         if node.process.poll() is not None:
             node.start()
@@ -235,7 +235,7 @@
                 node.process.send_signal(signal.SIGHUP)
         self.loop.later(3 * SECOND // 2, old.close)
 
-    def routers(self, who: str) -> list[Node]:
+    def routers(self, who: str) -> list[RouterProcess]:
         return [self.nodes[int(word) % len(self.nodes)] for word in who.split(",")]
 
     def kill(self, fault) -> None:
@@ -289,7 +289,7 @@
         self.missing = waiting
         self.go()
 
-    def go_without(self, missing: list[Node]) -> None:
+    def go_without(self, missing: list[RouterProcess]) -> None:
         """The load begins without routers that did not come up. One that ended is started again for as long as the play goes on."""
         for node in missing:
             node.crashed = node.crashed or "did not come up"
@@ -370,7 +370,7 @@
             fired.update(node.shim.fired() if node.shim is not None else {})
         return dict(fired)
 
-    def of_router(self, node: Node) -> dict:
+    def of_router(self, node: RouterProcess) -> dict:
         rows = node.samples
         if not rows:
             return {}
--- a/fieldspur/lab/soak/node.py
+++ b/fieldspur/lab/soak/node.py
@@ -9,14 +9,14 @@
 from fieldspur.bench.path import free_port
 from fieldspur.lab.emulate.peer_links import Relay
 from fieldspur.lab.emulate.servers import Board
-from fieldspur.lab.runs.scenario_run import Node
+from fieldspur.lab.runs.scenario_run import RouterProcess
 
 HOST = "127.%d.%d.4" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # soaks beside this one have theirs
 IDLE_CLOSE_US = 5_000_000  # of connections to servers, so that they end within a run
 BEFORE, AFTER = -1.0, 1e9  # the load; in place of a sample's second
 
 
-class SoakNode(Node):
+class SoakRouter(RouterProcess):
     """A router under the shim, with a link of its own to discovery."""
 
     def __init__(self, *about):
--- a/fieldspur/lab/soak/play.py
+++ b/fieldspur/lab/soak/play.py
@@ -18,7 +18,7 @@
 from fieldspur.lab.runs.scenario_run import LabFailed, ScenarioRun
 from fieldspur.lab.soak import plan as planning
 from fieldspur.lab.soak.clients import SoakLoad
-from fieldspur.lab.soak.node import AFTER, BEFORE, SoakNode
+from fieldspur.lab.soak.node import AFTER, BEFORE, SoakRouter
 from fieldspur.lab.soak.world import SoakWorld
 
 STILL_NEW = 300 * MS  # after SIGTERM: new connections
@@ -37,7 +37,7 @@
 
 
 class Soak(ScenarioRun):
-    NODE, WORLD, LOAD = SoakNode, SoakWorld, SoakLoad
+    ROUTER, WORLD, LOAD = SoakRouter, SoakWorld, SoakLoad
     SHIMS = True
 
     def __init__(self, plan, build, logs, command, live):
@@ -69,12 +69,12 @@
         """All start together; the load begins once each has said that it is ready."""
         waiting = {node.number for node in self.nodes}
 
-        def ready(node: SoakNode) -> None:
+        def ready(node: SoakRouter) -> None:
             waiting.discard(node.number)
             if not waiting:
                 self.go()
 
-        def look(node: SoakNode) -> None:
+        def look(node: SoakRouter) -> None:
             if self.loop.stopped:
                 return
             if time.monotonic() > end or node.process.poll() is not None:
@@ -144,19 +144,19 @@
             self.load.crowded_until[node.number] = max(self.load.crowded_until[node.number], until + CROWD_AFTER)
             self.crowd_in(node, int(fault.times), until)
 
-    def crowd_in(self, node: SoakNode, left: int, until: int) -> None:
+    def crowd_in(self, node: SoakRouter, left: int, until: int) -> None:
         if left <= 0 or self.loop.now() >= until:
             return
         for _ in range(min(left, CROWD_AT_ONCE)):
             self.idle_client(node, until)
         self.loop.later(CROWD_PAUSE, lambda: self.crowd_in(node, left - CROWD_AT_ONCE, until))
 
-    def idle_client(self, node: SoakNode, until: int) -> None:
+    def idle_client(self, node: SoakRouter, until: int) -> None:
         conn: Conn = self.loop.connect(node.address)
         conn.on_close = lambda: self.loop.later(SECOND // 5, lambda: self.loop.now() < until and self.idle_client(node, until))
         self.loop.at(until, conn.close)
 
-    def here(self, node: SoakNode) -> bool:
+    def here(self, node: SoakRouter) -> bool:
         """Whether it serves: not being restarted, killed or stopped."""
         return self.load.gone_until[node.number] <= self.loop.now() and not node.sleeping() and not node.ending
 
@@ -176,17 +176,17 @@
         self.await_end(node)
 
     @staticmethod
-    def signal(node: SoakNode, number: int) -> None:
+    def signal(node: SoakRouter, number: int) -> None:
         if node.ending and node.process.poll() is None:
             node.process.send_signal(number)
 
     @staticmethod
-    def kill_after(node: SoakNode) -> int:
+    def kill_after(node: SoakRouter) -> int:
         """How long after SIGTERM a router may be killed, in ns."""
         longest = max(node.deadline_us(rule["hardLimitUs"]) for rule in RULES) * 1000
         return min(longest, DEADLINE_COUNTED) + KILLED_AFTER
 
-    def kill_at_end(self, node: SoakNode) -> None:
+    def kill_at_end(self, node: SoakRouter) -> None:
         """A router that was told to end has had its time."""
         if node.process.poll() is not None:
             return
@@ -199,19 +199,19 @@
         node.killed = True
         node.process.kill()
 
-    def await_end(self, node: SoakNode) -> None:
+    def await_end(self, node: SoakRouter) -> None:
         if node.process.poll() is None:
             return self.loop.later(20 * MS, lambda: self.await_end(node))
         if node.process.returncode and not node.killed:
             self.checker.broke("crash", f"router {node.number}: ended with code {node.process.returncode} on SIGTERM")
         self.loop.later(END_SEEN, lambda: self.again(node))
 
-    def again(self, node: SoakNode) -> None:
+    def again(self, node: SoakRouter) -> None:
         node.ending = False
         node.start()
         self.loop.later(SECOND // 10, lambda: self.await_back(node))
 
-    def await_back(self, node: SoakNode) -> None:
+    def await_back(self, node: SoakRouter) -> None:
         took = time.monotonic() - node.started_at
         if node.process.poll() is not None:
             self.checker.broke(
@@ -222,7 +222,7 @@
             self.checker.broke("ready", f"router {node.number}: not ready after {took:.1f} s")
         self.ask_ready(node, lambda: self.back(node), lambda: self.await_back(node))
 
-    def back(self, node: SoakNode) -> None:
+    def back(self, node: SoakRouter) -> None:
         """It is ready after a start: the front takes it in."""
         self.ready_after.append(time.monotonic() - node.started_at)
         self.load.gone_until[node.number] = 0
@@ -230,7 +230,7 @@
             node.owed_reload = False
             node.process.send_signal(signal.SIGHUP)
 
-    def ask_ready(self, node: SoakNode, yes, no) -> None:
+    def ask_ready(self, node: SoakRouter, yes, no) -> None:
         """Asks a router whether it is ready, without waiting; `no` is called a moment later, also where nothing is said."""
         conn, told = self.loop.connect(node.address), []
 
@@ -246,7 +246,7 @@
         conn.write(ASK_READY)
         self.loop.later(SECOND // 10, over)
 
-    def last_line(self, node: SoakNode) -> str:
+    def last_line(self, node: SoakRouter) -> str:
         lines = (self.log_folder / f"node-{node.number}.log").read_text(errors="replace").splitlines()
         return lines[-1] if lines else ""
 
@@ -307,7 +307,7 @@
         found["passed"] = not found["missed"]
         return found
 
-    def read_log(self, node: SoakNode) -> None:
+    def read_log(self, node: SoakRouter) -> None:
         """What a router itself says went wrong."""
         for line in (self.log_folder / f"node-{node.number}.log").read_text(errors="replace").splitlines():
             if any(f"event={word}" in line for word in ("crashed", "broken", "contained")):
