--- a/fieldspur/lab/runs/load_generator.py
+++ b/fieldspur/lab/runs/load_generator.py
@@ -19,12 +19,12 @@
 BAD_LIFE = 3 * SECOND  # a bad client is owed an end by then
 
 
-class Line:
+class ClientConnection:
     """One client connection to a router."""
 
     PATIENCE = 80 * MS  # past a request's time limit, its client waits no more
 
-    def __init__(self, load: Load, router: int, slow: bool = False):
+    def __init__(self, load: LoadGenerator, router: int, slow: bool = False):
         self.load, self.router, self.slow = load, router, slow
         self.stream, self.open, self.leaving = 0, {}, False
         self.conn = load.loop.connect(load.addresses[router], window=4096 if slow else 0)
@@ -97,14 +97,14 @@
             load.answered(txn, "lost", 0)
 
 
-class Load:
-    LINE = Line
+class LoadGenerator:
+    CONNECTION = ClientConnection
 
     def __init__(self, loop: Loop, plan, checker: Checker, addresses: list[tuple[str, int]], begin: int, kb_of: Callable):
         self.loop, self.plan, self.checker, self.addresses, self.begin = loop, plan, checker, addresses, begin
         self.kb_of = kb_of
         self.random = random.Random(f"{plan.seed} load")
-        self.lines: list[set[Line]] = [set() for _ in addresses]
+        self.lines: list[set[ClientConnection]] = [set() for _ in addresses]
         self.gone_until = [0] * len(addresses)  # routers that are away by plan
         self.bodies = {row.rule: b"order" * (row.body // 5) + b"order"[: row.body % 5] for row in plan.load.classes}
         self.outcomes = Outcomes(plan, begin, self.random)
@@ -142,7 +142,7 @@
         lines = [line for line in self.lines[router] if not line.leaving and not line.slow]
         line = min(lines, key=lambda line: len(line.open), default=None)
         if line is None or line.open and len(lines) < self.plan.load.connections:
-            line = self.LINE(self, router)
+            line = self.CONNECTION(self, router)
             if line.conn.closed:
                 self.gone_until[router] = self.loop.now() + AWAY
                 return self.loop.later(AWAY, lambda: self.send(txn))
@@ -153,10 +153,10 @@
         line.ask(txn)
         self.asked(line, txn)
 
-    def asked(self, line: Line, txn: Txn) -> None:
+    def asked(self, line: ClientConnection, txn: Txn) -> None:
         """For loads whose clients do more than wait."""
 
-    def left(self, line: Line) -> None:
+    def left(self, line: ClientConnection) -> None:
         """A router said that it takes nothing new."""
         self.gone_until[line.router] = max(self.gone_until[line.router], self.loop.now() + AWAY)
 
@@ -223,7 +223,7 @@
 
     def slow_client(self, router: int) -> None:
         """Asks for large answers and reads 4 KB a second of them."""
-        line = Line(self, router, slow=True)
+        line = ClientConnection(self, router, slow=True)
         line.conn.pause(True)
         self.lines[router].add(line)
 
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -19,7 +19,7 @@
 from fieldspur.lab.checks.rule_checker import SECOND, Checker
 from fieldspur.lab.emulate.event_loop import Loop
 from fieldspur.lab.emulate.servers import Board, World
-from fieldspur.lab.runs.load_generator import Load
+from fieldspur.lab.runs.load_generator import LoadGenerator
 from fieldspur.lab.soak import shim
 from fieldspur.operators import BadFile
 
@@ -121,7 +121,7 @@
 
 
 class ScenarioRun:
-    ROUTER, WORLD, LOAD = RouterProcess, World, Load
+    ROUTER, WORLD, LOAD_GENERATOR = RouterProcess, World, LoadGenerator
     SHIMS = False  # routers run under the fault shim also where no fault of the scenario wants it
 
     def make_checker(self) -> Checker:
@@ -147,7 +147,7 @@
         }
         if self.SHIMS or any(fault.what in shim.CALLS for fault in plan.faults):
             self.put_shims()
-        self.load: Load | None = None
+        self.load: LoadGenerator | None = None
         self.missing: list[RouterProcess] = []  # routers that did not come up before the load
         self.curve: list[dict] = []
 
@@ -299,7 +299,9 @@
     def go(self) -> None:
         self.loop.lag = 0
         self.begin = self.loop.now() + SECOND // 5
-        self.load = self.LOAD(self.loop, self.plan, self.checker, [node.address for node in self.nodes], self.begin, self.world.kb_of)
+        self.load = self.LOAD_GENERATOR(
+            self.loop, self.plan, self.checker, [node.address for node in self.nodes], self.begin, self.world.kb_of
+        )
         for fault in self.plan.faults:
             self.loop.at(self.begin + int(fault.at * SECOND), lambda fault=fault: self.world.begin(fault))
         self.go_without(self.missing)
--- a/fieldspur/lab/soak/clients.py
+++ b/fieldspur/lab/soak/clients.py
@@ -7,19 +7,19 @@
 from fieldspur.lab.checks.invariants import LOST_AFTER
 from fieldspur.lab.checks.outcomes import Txn
 from fieldspur.lab.emulate.server_model import MS, SECOND
-from fieldspur.lab.runs.load_generator import Line, Load
+from fieldspur.lab.runs.load_generator import ClientConnection, LoadGenerator
 
 CLIENT_IDLE = 4 * SECOND  # clients close a connection without a request after that
 MOST_GOING_ON = 8  # open requests on a connection that a client uses on and on
 STILL_ASKED = 500 * MS  # after SIGTERM: requests on old connections, of most clients
 
 
-class SoakLine(Line):
+class SoakConnection(ClientConnection):
     """A client's connection as the protocol wants it: closed when idle, patient until an answer counts as lost."""
 
     PATIENCE = LOST_AFTER + 100 * MS
 
-    def __init__(self, load: SoakLoad, router: int, slow: bool = False):
+    def __init__(self, load: SoakLoadGenerator, router: int, slow: bool = False):
         super().__init__(load, router, slow)
         self.used_at = load.loop.now()
         load.loop.later(CLIENT_IDLE, self.rest)
@@ -79,8 +79,8 @@
                 load.answered(txn, "lost", 0)
 
 
-class SoakLoad(Load):
-    LINE = SoakLine
+class SoakLoadGenerator(LoadGenerator):
+    CONNECTION = SoakConnection
 
     def __init__(self, *about):
         super().__init__(*about)
@@ -104,7 +104,7 @@
             txn.limit_at = min(txn.limit_at, due + int(self.chance.uniform(0.12, 1.0) * SECOND))
         return txn
 
-    def one_more(self, line: Line) -> None:
+    def one_more(self, line: ClientConnection) -> None:
         """A request on that very connection."""
         row, objects = self.chance.choice(list(self.drawn.values()))
         txn = self.made(row, objects, self.loop.now())
@@ -112,7 +112,7 @@
         line.ask(txn)
         self.asked(line, txn)
 
-    def asked(self, line: Line, txn: Txn) -> None:
+    def asked(self, line: ClientConnection, txn: Txn) -> None:
         if self.chance.random() < self.plan.load.cancels:
             stream = line.stream
             self.loop.later(int(self.chance.expovariate(8) * SECOND), lambda: line.give_up(stream))
@@ -125,7 +125,7 @@
             self.chance.choice(lines).hang_up(self.chance.random() < 0.5)
         self.loop.later(int(self.chance.expovariate(self.plan.load.hang_ups) * SECOND), self.next_hang_up)
 
-    def left(self, line: Line) -> None:
+    def left(self, line: ClientConnection) -> None:
         """A router said that it takes nothing new; this client hears of it a moment later, or does not care."""
         line.leaving = False
         if self.chance.random() < self.plan.load.stays:
--- a/fieldspur/lab/soak/play.py
+++ b/fieldspur/lab/soak/play.py
@@ -17,7 +17,7 @@
 from fieldspur.lab.emulate.server_model import MS, SECOND
 from fieldspur.lab.runs.scenario_run import LabFailed, ScenarioRun
 from fieldspur.lab.soak import plan as planning
-from fieldspur.lab.soak.clients import SoakLoad
+from fieldspur.lab.soak.clients import SoakLoadGenerator
 from fieldspur.lab.soak.node import AFTER, BEFORE, SoakRouter
 from fieldspur.lab.soak.world import SoakWorld
 
@@ -37,7 +37,7 @@
 
 
 class Soak(ScenarioRun):
-    ROUTER, WORLD, LOAD = SoakRouter, SoakWorld, SoakLoad
+    ROUTER, WORLD, LOAD_GENERATOR = SoakRouter, SoakWorld, SoakLoadGenerator
     SHIMS = True
 
     def __init__(self, plan, build, logs, command, live):
