--- a/fieldspur/lab/emulate/server_model.py
+++ b/fieldspur/lab/emulate/server_model.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class ReceivedHop:
     """One hop as a server has it. `end(word, note, waited, copy)` is called once unless it is given up."""
 
     rule: str
@@ -235,7 +235,7 @@
     def time_of(self, kb: float) -> int:
         return int(kb / self.kb_per_s * SECOND)
 
-    def ask(self, asked: Asked) -> None:
+    def ask(self, asked: ReceivedHop) -> None:
         self.counts["asked"] += 1
         if self.silent or not self.up:
             return
@@ -243,17 +243,17 @@
             return self.clock.later(START, lambda: self.end(asked, "EIO"))
         self.clock.later(START + self.late, lambda: self.serve(asked))
 
-    def end(self, asked: Asked, word: str, note: str = "", waited: int = 0, copy: Copy | None = None) -> None:
+    def end(self, asked: ReceivedHop, word: str, note: str = "", waited: int = 0, copy: Copy | None = None) -> None:
         if not asked.over and not self.silent and self.up:
             asked.over = True
             asked.end(word, note, waited, copy)
 
-    def transfer(self, asked: Asked, note: str, waited: int, copy: Copy) -> None:
+    def transfer(self, asked: ReceivedHop, note: str, waited: int, copy: Copy) -> None:
         if not asked.over:
             asked.link = self.link
             asked.job = self.link.add(self.time_of(asked.kb), lambda: self.end(asked, "ACK", note, waited, copy))
 
-    def serve(self, asked: Asked) -> None:
+    def serve(self, asked: ReceivedHop) -> None:
         if asked.over or not self.up:
             return
         self.offered(self.time_of(asked.kb))
@@ -306,7 +306,7 @@
             else:
                 self.transfer(asked, own or note, waited, copy)
 
-    def feed(self, asked: Asked, give: Callable) -> None:
+    def feed(self, asked: ReceivedHop, give: Callable) -> None:
         """Another server fills from here; `give(copy, note)` follows, but not from one that is silent or dead."""
         if self.silent or not self.up:
             return
@@ -359,7 +359,7 @@
         self.keys: dict[str, int] = {}  # keyed txns and when they last ran
         self.on_effect: Callable = lambda name: None  # a txn's effect took place; its key or id
 
-    def feed(self, asked: Asked, give: Callable) -> None:
+    def feed(self, asked: ReceivedHop, give: Callable) -> None:
         if self.silent or not self.up:
             return
         self.counts["fills"] += 1
@@ -368,7 +368,7 @@
         issued = self.clock.now()
         self.link.add(self.takes, lambda: give(Copy(issued, asked.kb, 1), "TCP_MISS_ROOT"))
 
-    def run(self, asked: Asked, done: Callable) -> None:
+    def run(self, asked: ReceivedHop, done: Callable) -> None:
         """A txn whose answer is not kept has its effect once the store has worked at it."""
         if self.silent or not self.up:
             return
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -13,7 +13,7 @@
 from fieldspur.lab.emulate import socket_queues, wire
 from fieldspur.lab.emulate.event_loop import Conn, Loop
 from fieldspur.lab.emulate.faults import Faults
-from fieldspur.lab.emulate.server_model import MS, SECOND, Asked, Server, Store
+from fieldspur.lab.emulate.server_model import MS, SECOND, ReceivedHop, Server, Store
 
 LINE_EVERY = SECOND  # the board's last number
 LOOK_QUEUES = 10 * MS  # at what is written to a server that reads nothing
@@ -25,7 +25,7 @@
     def __init__(self, world: World, model, kind: str):
         self.world, self.model, self.kind = world, model, kind
         self.conns: set[Conn] = set()
-        self.open: dict[tuple, Asked] = {}
+        self.open: dict[tuple, ReceivedHop] = {}
         self.entries: dict[tuple, Hop] = {}  # the checker's, of those
         self.garble = 0.0  # share of good answers that arrive spoilt
         self.random = random.Random(f"{world.plan.seed} {model.name} front")
@@ -101,7 +101,7 @@
                 data = self.spoil(data)
             conn.write(data)
 
-        asked = Asked(
+        asked = ReceivedHop(
             rule,
             obj,
             part,
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -29,7 +29,7 @@
 from fieldspur.lab.checks.outcomes import Outcomes, Txn
 from fieldspur.lab.checks.rule_checker import MS, SECOND, Checker, Try
 from fieldspur.lab.emulate.faults import Faults
-from fieldspur.lab.emulate.server_model import Asked, Server, Store
+from fieldspur.lab.emulate.server_model import ReceivedHop, Server, Store
 from fieldspur.lab.runs.scenario import Far
 from fieldspur.lab.runs.scenario_run import missed, recoveries
 from fieldspur.operators import BadFile
@@ -81,7 +81,7 @@
         self.world, self.number, self.zone = world, number, zone
         self.clock = world.clock
         self.open: dict[int, Txn] = {}
-        self.hops: dict[tuple, Asked] = {}
+        self.hops: dict[tuple, ReceivedHop] = {}
         self.numbers: Counter = Counter()
         self.router = build_router(self, world.plan.seed * 1000 + number, site)
 
@@ -105,7 +105,7 @@
                 entry[0].end = word
             self.clock.later(NET, lambda: self.ended(ident, number, WORDS[word], began, NOTES.get(note, 0), waited, copy, model.load()))
 
-        asked = Asked(
+        asked = ReceivedHop(
             txn.rule,
             txn.obj,
             txn.part,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -224,7 +224,7 @@
 def ask(made, obj="a", kb=100.0, source="store", join=True, rank=2, key=None, kept=True, ident="x", ended=None):
     ended = [] if ended is None else ended
     made.ask(
-        server_model.Asked(
+        server_model.ReceivedHop(
             "pages",
             obj,
             0,
@@ -265,7 +265,9 @@
     first, ended = [], []
     for n in range(3):
         first.append(
-            server_model.Asked("pages", "aa", 0, 100.0, None, None, 2, 0, False, True, True, lambda *about: ended.append(clock.now() // MS))
+            server_model.ReceivedHop(
+                "pages", "aa", 0, 100.0, None, None, 2, 0, False, True, True, lambda *about: ended.append(clock.now() // MS)
+            )
         )
         made.ask(first[-1])
     clock.run(50 * MS)
