--- a/fieldspur/lab/checks/report.py
+++ b/fieldspur/lab/checks/report.py
@@ -227,7 +227,7 @@
             told = play.checker.states.get(name, ("up", 0))[0]
             state = "silent" if model.silent else "down" if not model.up else "cold" if getattr(model, "cold", lambda: False)() else told
             counts = ", ".join(f"{value} {what}" for what, value in model.counts.items() if value)
-            grid.add_row(name, state, f"{model.link.live} transfers", counts)
+            grid.add_row(name, state, f"{model.link.active_jobs} transfers", counts)
         return grid
 
     @staticmethod
--- a/fieldspur/lab/emulate/server_model.py
+++ b/fieldspur/lab/emulate/server_model.py
@@ -68,11 +68,11 @@
         self.clock, self.rating, self.slow = clock, rating, 1.0
         self.done, self.at = 0.0, clock.now()  # work done for each job so far, in ns at full pace; as of when
         self.jobs: list = []  # heap of [its end on `done`, order, what]; without `what` it was given up
-        self.live = 0  # those that were not
+        self.active_jobs = 0  # those that were not
         self.order, self.woken = itertools.count(), 0
 
     def pace(self) -> float:
-        return min(1.0, self.rating / self.live) / self.slow if self.live else 1.0
+        return min(1.0, self.rating / self.active_jobs) / self.slow if self.active_jobs else 1.0
 
     def advance(self) -> None:
         now = self.clock.now()
@@ -82,7 +82,7 @@
         self.advance()
         job = [self.done + max(LEAST, work), next(self.order), what]
         heapq.heappush(self.jobs, job)
-        self.live += 1
+        self.active_jobs += 1
         self.plan()
         return job
 
@@ -90,7 +90,7 @@
         if job[2] is not None:
             self.advance()
             job[2] = None
-            self.live -= 1
+            self.active_jobs -= 1
             self.plan()
 
     def plan(self) -> None:
@@ -108,7 +108,7 @@
         while self.jobs and self.jobs[0][0] <= self.done + 1:
             job = heapq.heappop(self.jobs)
             if job[2] is not None:
-                self.live -= 1
+                self.active_jobs -= 1
                 what, job[2] = job[2], None
                 what()
         self.plan()
@@ -123,7 +123,7 @@
         for job in self.jobs:
             job[2] = None
         self.jobs.clear()
-        self.live = 0
+        self.active_jobs = 0
         self.woken += 1
 
 
@@ -182,7 +182,7 @@
         self.link.change(rating=self.rating)
 
     def load(self) -> dict:
-        jobs = self.link.live
+        jobs = self.link.active_jobs
         return {
             "active": jobs,
             "cpu": round(min(1.0, jobs / max(0.1, self.link.rating)), 3),
@@ -388,4 +388,4 @@
         self.link.add(self.takes, ran)
 
     def load(self) -> dict:
-        return {"active": self.link.live, "cpu": 0.0, "x0": 0, "x1": 0}
+        return {"active": self.link.active_jobs, "cpu": 0.0, "x0": 0, "x1": 0}
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -323,8 +323,8 @@
                 "second": round(second, 2),
                 "open": load.outcomes.open,
                 "fills": store.counts["fills"],
-                "store": store.link.live,
-                "caches": [front.model.link.live for front in self.world.fronts.values() if front.kind == "std"],
+                "store": store.link.active_jobs,
+                "caches": [front.model.link.active_jobs for front in self.world.fronts.values() if front.kind == "std"],
             }
         )
         if self.live is not None:
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -331,12 +331,12 @@
             self.clock.later(self.random.randrange(*TOLD_AFTER), told)
 
     def sample(self) -> None:
-        crowds = [model.link.live / model.link.rating for model in self.models.values() if model.kind == "std"]
+        crowds = [model.link.active_jobs / model.link.rating for model in self.models.values() if model.kind == "std"]
         self.curve.append(
             {
                 "second": round((self.clock.time - self.began) / SECOND, 2),
                 "open": self.outcomes.open,
-                "store": self.store.link.live,
+                "store": self.store.link.active_jobs,
                 "caches": [round(max(crowds), 2)],
                 "usual": round(sum(crowds) / len(crowds), 3),
             }
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -273,9 +273,9 @@
     clock.run(50 * MS)
     first[0].give_up()
     first[1].give_up()
-    assert made.link.live == 1
+    assert made.link.active_jobs == 1
     clock.run(SECOND)
-    assert ended == [133] and made.link.live == 0  # from 1 ms on at a third of the pace, from 50 ms on at all of it
+    assert ended == [133] and made.link.active_jobs == 0  # from 1 ms on at a third of the pace, from 50 ms on at all of it
     made.purge(-1, 10)
     made.keep("aa", 0, server_model.Copy(5, 100.0, 2))
     assert made.find("aa", 0, 0) is None
