--- a/fieldspur/lab/emulate/server_model.py
+++ b/fieldspur/lab/emulate/server_model.py
@@ -148,11 +148,11 @@
         self.copies: list[OrderedDict] = [OrderedDict() for _ in range(4)]  # by rank, longest unused first
         self.where: dict[tuple, int] = {}  # rank of each copy
         self.fills: dict[tuple, list] = {}  # under way; who waits for it
-        self.link = Shared(self.clock, self.able())
+        self.link = Shared(self.clock, self.current_rating())
         self.work: deque = deque()  # (when, work) of the last second
         self.purged: dict[int, int] = {}  # by group (-1: all): copies given out before are not kept
 
-    def able(self) -> float:
+    def current_rating(self) -> float:
         """How many transfers run at full pace now: a cold server does little."""
         if not self.started:
             return self.rating
@@ -171,9 +171,9 @@
         self.work.append((now, work))
         while self.work[0][0] < now - SECOND:
             self.work.popleft()
-        if abs(self.able() - self.link.rating) > 0.05 * self.rating:
-            self.link.change(rating=self.able())
-        if now - self.started > SECOND and sum(w for _, w in self.work) > 2 * self.plan.fall_multiple * self.able() * SECOND:
+        if abs(self.current_rating() - self.link.rating) > 0.05 * self.rating:
+            self.link.change(rating=self.current_rating())
+        if now - self.started > SECOND and sum(w for _, w in self.work) > 2 * self.plan.fall_multiple * self.current_rating() * SECOND:
             self.fell += 1
             self.work.clear()
             self.on_fall(self)
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -256,7 +256,7 @@
         return min(230_000, int(self.kb_of(rule, obj, part) * self.byte_rate[rule]))
 
     def offered(self, server: Server, work: int) -> None:
-        self.checker.asked_of_cold(server.name, server.able(), work, self.loop.now())
+        self.checker.asked_of_cold(server.name, server.current_rating(), work, self.loop.now())
 
     def tell(self, names: list[str], status: str) -> None:
         self.tell_rows([self.row(name, status) for name in names], status)
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -264,7 +264,7 @@
                 self.clock.later(self.random.randrange(*TOLD_AFTER), lambda host=host, mine=mine: self.list_to(host, mine, states=states))
 
     def offered(self, server: Server, work: int) -> None:
-        self.checker.asked_of_cold(server.name, server.able(), work, self.clock.time)
+        self.checker.asked_of_cold(server.name, server.current_rating(), work, self.clock.time)
 
     def down(self, name: str) -> None:
         self.models[name].die()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -314,13 +314,13 @@
     made.on_fall = fell.append
     made.started = clock.now() + 1
     clock.run(2 * SECOND)
-    assert 3 < made.able() < 4
+    assert 3 < made.current_rating() < 4
     for n in range(300):
         ask(made, f"{n}", kb=300.0)
         clock.run(clock.now() + 2 * MS)
     assert fell and made.counts["asked"] == 300
     clock.run(12 * SECOND)
-    assert made.able() == 10.0 and not made.cold()
+    assert made.current_rating() == 10.0 and not made.cold()
 
 
 # Plans, bodies, files.
