--- a/fieldspur/lab/checks/outcomes.py
+++ b/fieldspur/lab/checks/outcomes.py
@@ -129,7 +129,7 @@
             "classes": classes,
             "fills": store.counts["fills"],
             "fills_a_txn": round(store.counts["fills"] / max(1, txns), 4),
-            "most_fills_a_second": max(store.by_second.values(), default=0),
+            "most_fills_a_second": max(store.fills_by_second.values(), default=0),
             "ticks": ticks,
-            "fills_by_second": {str(second - begun): count for second, count in sorted(store.by_second.items())},
+            "fills_by_second": {str(second - begun): count for second, count in sorted(store.fills_by_second.items())},
         }
--- a/fieldspur/lab/emulate/faults.py
+++ b/fieldspur/lab/emulate/faults.py
@@ -88,8 +88,8 @@
                 self.quiet(name, True, fault.what == "stop")
             undo = lambda: [self.quiet(name, False, False) for name in names]
         elif fault.what == "slow":
-            each(lambda model: model.link.change(slow=fault.times))
-            undo = lambda: each(lambda model: model.link.change(slow=1.0))
+            each(lambda model: model.link.change(slowdown=fault.times))
+            undo = lambda: each(lambda model: model.link.change(slowdown=1.0))
         elif fault.what == "late":
             each(lambda model: setattr(model, "late", int(fault.times * MS)))
             undo = lambda: each(lambda model: setattr(model, "late", 0))
@@ -105,8 +105,8 @@
         elif fault.what == "purge":
             self.purge(fault.group)
         elif fault.what == "store_slow":
-            self.store.link.change(slow=fault.times)
-            undo = lambda: self.store.link.change(slow=1.0)
+            self.store.link.change(slowdown=fault.times)
+            undo = lambda: self.store.link.change(slowdown=1.0)
         else:
             undo = self.other(fault, names)
         if undo is not None and fault.lasts:
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -119,8 +119,8 @@
         self.open[conn, ident] = asked
         if entry is not None:
             self.entries[conn, ident] = entry
-        world.checker.worked(self.model.time_of(asked.kb))
-        self.model.ask(asked)
+        world.checker.worked(self.model.transfer_time(asked.kb))
+        self.model.receive(asked)
 
     def spoil(self, data: bytes) -> bytes:
         return self.random.choice(
@@ -137,7 +137,7 @@
     def back(self) -> None:
         """A new process at the old address: empty, cold."""
         self.model.started = self.world.loop.now()
-        self.model.begin()
+        self.model.start_empty()
         self.listener = self.listen(self.port)
 
     def quiet(self, yes: bool, stopped: bool) -> None:
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -123,21 +123,21 @@
         self.hops[ident, number] = asked
 
         def come() -> None:
-            if asked.over:
+            if asked.finished:
                 return
             if not model.up:
-                asked.over = True
+                asked.finished = True
                 return self.ended(ident, number, "unreachable", began)
             entry.append(world.checker.hop(server, source if source != server else None, name, self.clock.time))
             world.out_at[server].add((self, ident, number))
-            model.ask(asked)
+            model.receive(asked)
 
         self.clock.later(NET, come)
         self.clock.later(cut_at - began, lambda: self.cut(ident, number, began, "timed_out"))
 
     def cut(self, ident: int, number: int, began: int, result: str) -> None:
         asked = self.hops.get((ident, number))
-        if asked is not None and not asked.over:
+        if asked is not None and not asked.finished:
             asked.give_up()
             self.ended(ident, number, result, began)
 
@@ -154,7 +154,7 @@
     def broken(self, ident: int, number: int) -> None:
         """The server died under a hop."""
         asked = self.hops.get((ident, number))
-        if asked is not None and not asked.over:
+        if asked is not None and not asked.finished:
             asked.give_up()
             self.clock.later(NET, lambda: self.ended(ident, number, "broken", self.clock.time))
 
@@ -275,7 +275,7 @@
     def back(self, name: str) -> None:
         model = self.models[name]
         model.started = self.clock.time
-        model.begin()
+        model.start_empty()
         self.tell([name], "up")
 
     # Load.
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -223,7 +223,7 @@
 
 def ask(made, obj="a", kb=100.0, source="store", join=True, rank=2, key=None, kept=True, ident="x", ended=None):
     ended = [] if ended is None else ended
-    made.ask(
+    made.receive(
         server_model.ReceivedHop(
             "pages",
             obj,
@@ -246,7 +246,7 @@
 def test_transfers_share_a_server_s_pace_and_a_single_one_has_it_all():
     clock = simulation.Clock(0)
     made = server(clock)
-    made.keep("a", 0, server_model.Copy(0, 100.0, 2))
+    made.store_copy("a", 0, server_model.Copy(0, 100.0, 2))
     alone = ask(made)
     clock.run(SECOND)
     assert alone[0][0] // MS == 101  # 100 KB at 1,000 KB a second, and the start
@@ -261,7 +261,7 @@
     """Found at large size: transfers that nobody waited for kept a cache crowded, and a late fill brought an old copy."""
     clock = simulation.Clock(0)
     made = server(clock, rating=1.0)
-    made.keep("aa", 0, server_model.Copy(0, 100.0, 2))
+    made.store_copy("aa", 0, server_model.Copy(0, 100.0, 2))
     first, ended = [], []
     for n in range(3):
         first.append(
@@ -269,7 +269,7 @@
                 "pages", "aa", 0, 100.0, None, None, 2, 0, False, True, True, lambda *about: ended.append(clock.now() // MS)
             )
         )
-        made.ask(first[-1])
+        made.receive(first[-1])
     clock.run(50 * MS)
     first[0].give_up()
     first[1].give_up()
@@ -277,10 +277,10 @@
     clock.run(SECOND)
     assert ended == [133] and made.link.active_jobs == 0  # from 1 ms on at a third of the pace, from 50 ms on at all of it
     made.purge(-1, 10)
-    made.keep("aa", 0, server_model.Copy(5, 100.0, 2))
-    assert made.find("aa", 0, 0) is None
-    made.keep("aa", 0, server_model.Copy(15, 100.0, 2))
-    assert made.find("aa", 0, 0) is not None
+    made.store_copy("aa", 0, server_model.Copy(5, 100.0, 2))
+    assert made.find_copy("aa", 0, 0) is None
+    made.store_copy("aa", 0, server_model.Copy(15, 100.0, 2))
+    assert made.find_copy("aa", 0, 0) is not None
 
 
 def test_concurrent_misses_join_one_fill_and_a_rank_protects_what_it_holds():
@@ -294,7 +294,7 @@
     for n in range(20):
         ask(made, f"low-{n}", rank=1)
         clock.run(clock.now() + SECOND)
-    assert made.find("a", 0, 0) is not None and made.held <= made.room
+    assert made.find_copy("a", 0, 0) is not None and made.stored_kb <= made.capacity_kb
 
 
 def test_the_store_drops_a_keyed_repeat_within_its_span_only():
