--- a/fieldspur/operators.py
+++ b/fieldspur/operators.py
@@ -303,12 +303,10 @@
         object_schema["additionalProperties"] = False
         for field in kind.__fields__:
             field_schema = object_schema["properties"][field.name]
-            reference = field_schema.get("$ref") or next(
-                (choice["$ref"] for choice in field_schema.get("anyOf", ()) if "$ref" in choice), ""
-            )
+            ref = field_schema.get("$ref") or next((choice["$ref"] for choice in field_schema.get("anyOf", ()) if "$ref" in choice), "")
             field_schema.update(field.metadata)
-            if reference:
-                add_metadata(field.factory, definitions[reference.rpartition("/")[2]])
+            if ref:
+                add_metadata(field.factory, definitions[ref.rpartition("/")[2]])
 
     root_schema = msgspec.json.schema(msgspec_class(Operators))
     definitions = root_schema["$defs"]
--- a/fieldspur/simulator/__init__.py
+++ b/fieldspur/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter: plays the decision module against simulated servers over standard input and output."""
+"""The simulator adapter: runs the decision module for a simulator that talks to it over standard input and output."""
--- a/fieldspur/simulator/__main__.py
+++ b/fieldspur/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""Run the adapter on standard input and output until the input ends."""
+"""Runs the simulator adapter on standard input and output until the input ends."""
 
 import sys
 
@@ -6,8 +6,8 @@
 
 try:
     serve(sys.stdin.buffer, sys.stdout)
-except BadInput as bad:
-    print(f"fieldspur.drill: {bad}", file=sys.stderr)
+except BadInput as error:
+    print(f"fieldspur.drill: {error}", file=sys.stderr)
     sys.exit(2)
 except (BrokenPipeError, KeyboardInterrupt):
     sys.exit(1)
