--- a/fieldspur/simulator/codec.py
+++ b/fieldspur/simulator/codec.py
@@ -27,7 +27,7 @@
     """Input that breaks the protocol; the text names the line and what is wrong with it."""
 
 
-def parse_line(line: str) -> tuple[str, dict[str, str]]:
+def split(line: str) -> tuple[str, dict[str, str]]:
     """The name of a line and its `key=value` fields."""
     name, _, rest = line.partition(" ")
     if not name or "=" in name:
@@ -199,7 +199,7 @@
 
     def read_line(self, line: str) -> list[str] | None:
         """Handles one input line. Returns the lines of the reply at the end of a batch, else None."""
-        name, fields = parse_line(line)
+        name, fields = split(line)
         if self.rows_due and name != "server":
             raise BadInput(f"{self.rows_due} 'server' lines are missing before '{name[:40]}'")
         if name == "sync":
