--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -154,7 +154,7 @@
             self.world.loop.later(LOOK_QUEUES, self.look)
 
 
-class Board:
+class DiscoveryServer:
     """The notice board: numbered events to all that watch."""
 
     def __init__(self, loop: Loop, events: list | None = None):
@@ -230,7 +230,7 @@
                 self.models[name] = model
                 self.fronts[name] = Front(self, model, kind)
         self.store_listener = loop.listen(lambda conn: None)
-        self.board = Board(
+        self.board = DiscoveryServer(
             loop, [{"rev": 1, "pool": {"index": 1, "snapshot": True, "endpoints": [self.row(name) for name in self.models]}}]
         )
         self.others: dict[str, Callable] = {}  # faults that are not of the servers, by what happens
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -18,7 +18,7 @@
 from fieldspur.bench.start import ready
 from fieldspur.lab.checks.rule_checker import SECOND, Checker
 from fieldspur.lab.emulate.event_loop import Loop
-from fieldspur.lab.emulate.servers import Board, World
+from fieldspur.lab.emulate.servers import DiscoveryServer, World
 from fieldspur.lab.runs.load_generator import LoadGenerator
 from fieldspur.lab.soak import shim
 from fieldspur.operators import BadFile
@@ -51,11 +51,11 @@
         self.shim: shim.Shim | None = None  # where the play makes system calls fail
         self.killed = False  # by a fault
 
-    def board_port(self, board: Board) -> int:
+    def board_port(self, board: DiscoveryServer) -> int:
         """Where this router finds that discovery service."""
         return board.port
 
-    def write(self, board: Board) -> None:
+    def write(self, board: DiscoveryServer) -> None:
         plan, servers = self.world.plan, self.world.plan.servers
         conf = sample_settings.node_file(
             self.address[1],
@@ -226,7 +226,7 @@
     def reload(self, fault) -> None:
         """The notice board moves, and the file says where to; the old one ends after 1.5 s."""
         old = self.world.board
-        self.world.board = Board(self.loop, old.events)
+        self.world.board = DiscoveryServer(self.loop, old.events)
         for node in self.nodes:
             node.write(self.world.board)
             if self.load.gone_until[node.number] > self.loop.now():  # a start; SIGHUP never comes within its first second
--- a/fieldspur/lab/soak/node.py
+++ b/fieldspur/lab/soak/node.py
@@ -8,7 +8,7 @@
 
 from fieldspur.bench.path import free_port
 from fieldspur.lab.emulate.peer_links import Relay
-from fieldspur.lab.emulate.servers import Board
+from fieldspur.lab.emulate.servers import DiscoveryServer
 from fieldspur.lab.runs.scenario_run import RouterProcess
 
 HOST = "127.%d.%d.4" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # soaks beside this one have theirs
@@ -22,13 +22,13 @@
     def __init__(self, *about):
         super().__init__(*about)
         self.address = (HOST, free_port(HOST))
-        self.links: dict[Board, Relay] = {}
+        self.links: dict[DiscoveryServer, Relay] = {}
         self.settings: dict = {}  # a trouble's time until a reload, in ns
         self.ended_at = self.started_at = 0
         self.ending = False  # was told to end, and has not started again
         self.level: dict = {}  # files and threads before the load
 
-    def board_port(self, board: Board) -> int:
+    def board_port(self, board: DiscoveryServer) -> int:
         if board not in self.links:
             self.links[board] = Relay(self.world.loop, ("127.0.0.1", board.port), random.Random(f"{self.world.plan.seed} {self.number}"))
         return self.links[board].port
