--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -230,7 +230,7 @@
                 self.models[name] = model
                 self.fronts[name] = Front(self, model, kind)
         self.store_listener = loop.listen(lambda conn: None)
-        self.board = DiscoveryServer(
+        self.discovery = DiscoveryServer(
             loop, [{"rev": 1, "pool": {"index": 1, "snapshot": True, "endpoints": [self.row(name) for name in self.models]}}]
         )
         self.others: dict[str, Callable] = {}  # faults that are not of the servers, by what happens
@@ -266,7 +266,7 @@
         now = self.loop.now()
         for row in rows:
             self.checker.told(row["name"], status, now)
-        self.board.tell({"pool": {"index": 1, "snapshot": False, "endpoints": rows}})
+        self.discovery.tell({"pool": {"index": 1, "snapshot": False, "endpoints": rows}})
 
     def down(self, name: str) -> None:
         self.fronts[name].down()
@@ -280,7 +280,7 @@
         self.fronts[name].quiet(yes, stopped)
 
     def purge_told(self, group: int, now: int) -> None:
-        self.board.tell(*({"flush": {"collection": one, "ms": now // MS}} for one in (range(256) if group < 0 else (group,))))
+        self.discovery.tell(*({"flush": {"collection": one, "ms": now // MS}} for one in (range(256) if group < 0 else (group,))))
         self.checker.purged(None, group, now, self.loop.now())
 
     def other(self, fault, names: list[str]):
@@ -292,7 +292,7 @@
         if fault.what == "reset":
             self.resets(fronts, self.loop.now() + int(fault.lasts * SECOND))
         elif fault.what == "board_break":
-            self.board.break_off()
+            self.discovery.break_off()
         else:
             self.others[fault.what](fault)
         return None
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -82,7 +82,7 @@
         """For runs whose settings differ."""
 
     def start(self) -> None:
-        self.write(self.world.board)
+        self.write(self.world.discovery)
         self.starts, self.killed = self.starts + 1, False
         env = {**os.environ, "LB_CONFIG": str(self.path), "MALLOC_ARENA_MAX": "2", "PYTHONPATH": str(self.build), **self.env}
         self.process = subprocess.Popen(self.command, cwd=self.build, env=env, stderr=self.log)
@@ -225,10 +225,10 @@
 
     def reload(self, fault) -> None:
         """The notice board moves, and the file says where to; the old one ends after 1.5 s."""
-        old = self.world.board
-        self.world.board = DiscoveryServer(self.loop, old.events)
+        old = self.world.discovery
+        self.world.discovery = DiscoveryServer(self.loop, old.events)
         for node in self.nodes:
-            node.write(self.world.board)
+            node.write(self.world.discovery)
             if self.load.gone_until[node.number] > self.loop.now():  # a start; SIGHUP never comes within its first second
                 node.owed_reload = True
             else:
--- a/fieldspur/lab/soak/world.py
+++ b/fieldspur/lab/soak/world.py
@@ -91,7 +91,7 @@
         """Discovery lists a server that drains and removes it, and purges an object, none of which was named before or is again."""
         name = f"passing-{next(self.passing)}"
         row = endpoint(name, free_port(), "std", status="draining", weight=1.0, since_ms=0)
-        self.board.tell(
+        self.discovery.tell(
             {"pool": {"index": 1, "snapshot": False, "endpoints": [row]}},
             {"pool": {"index": 1, "snapshot": False, "endpoints": [row | {"status": "removed"}]}},
             {"flush": {"asset": f"{next(self.passing):016x}", "ms": self.loop.now() // MS}},
