--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -19,7 +19,7 @@
 LOOK_QUEUES = 10 * MS  # at what is written to a server that reads nothing
 
 
-class Front:
+class ServerFrontend:
     """The sockets of one server; `model` says what it does."""
 
     def __init__(self, world: World, model, kind: str):
@@ -216,7 +216,7 @@
         self.store = Store(loop, rows.store_rating, int(rows.store_ms * MS))
         self.store.on_effect = checker.effect
         self.models["store"] = self.store
-        self.fronts: dict[str, Front] = {}
+        self.fronts: dict[str, ServerFrontend] = {}
         self.byte_rate = {row.rule: row.bytes_a_kb for row in plan.load.classes}
         self.middle = {row.rule: row.kb for row in plan.load.classes}
         for kind, count, rating, mb in (
@@ -228,7 +228,7 @@
                 model = Server(loop, name, kind, rating, mb * 1024, catalog.KB_PER_S, rows, seed=plan.seed)
                 model.store, model.on_offered, model.on_fall = self.store, self.offered, self.fall
                 self.models[name] = model
-                self.fronts[name] = Front(self, model, kind)
+                self.fronts[name] = ServerFrontend(self, model, kind)
         self.store_listener = loop.listen(lambda conn: None)
         self.discovery = DiscoveryServer(
             loop, [{"rev": 1, "pool": {"index": 1, "snapshot": True, "endpoints": [self.row(name) for name in self.models]}}]
@@ -297,7 +297,7 @@
             self.others[fault.what](fault)
         return None
 
-    def resets(self, fronts: list[Front], until: int) -> None:
+    def resets(self, fronts: list[ServerFrontend], until: int) -> None:
         for front in fronts:
             for conn in list(front.conns):
                 conn.reset()
--- a/fieldspur/lab/soak/world.py
+++ b/fieldspur/lab/soak/world.py
@@ -10,7 +10,7 @@
 from fieldspur.lab.emulate.event_loop import Conn
 from fieldspur.lab.emulate.fault_proxy import Proxy
 from fieldspur.lab.emulate.server_model import MS, SECOND
-from fieldspur.lab.emulate.servers import Front, World
+from fieldspur.lab.emulate.servers import ServerFrontend, World
 
 CRASH_SPREAD, REMOVAL_SPREAD = 10 * MS, 60 * MS
 FLAP = 10, 30  # ms between two words of discovery about a server
@@ -127,7 +127,7 @@
 
     def unread(self, name: str) -> bool:
         """Whether the server reads nothing, so that an end written to it is not seen."""
-        front: Front | None = self.fronts.get(name)
+        front: ServerFrontend | None = self.fronts.get(name)
         proxy = self.proxies.get(name)
         return (
             front is None
