--- a/fieldspur/lab/emulate/faults.py
+++ b/fieldspur/lab/emulate/faults.py
@@ -14,7 +14,7 @@
     """Of a world with `models` by name and a `clock`. It says how a server goes down, comes back, keeps quiet, what the
     list tells and what a purge does; the rest is the same everywhere."""
 
-    PLAYED = frozenset(("die", "silent", "stop", "slow", "late", "errors", "drain", "restart", "purge", "store_slow"))  # by name
+    SUPPORTED_FAULTS = frozenset(("die", "silent", "stop", "slow", "late", "errors", "drain", "restart", "purge", "store_slow"))  # by name
 
     def __init__(self, clock, chance: random.Random):
         self.clock, self.random = clock, chance
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -206,7 +206,7 @@
 class World(Faults):
     """All that stands behind the routers on sockets."""
 
-    PLAYED = Faults.PLAYED | {"garble", "reset", "board_break"}
+    SUPPORTED_FAULTS = Faults.SUPPORTED_FAULTS | {"garble", "reset", "board_break"}
     sees_writers = False  # something before a server notes when routers hand their bytes over, whether the server reads or not
 
     def __init__(self, loop: Loop, plan, checker: Checker):
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -154,7 +154,7 @@
     def refuse_unknown(self) -> None:
         """Raises BadFile where the scenario names a fault that is not played here: it would end the play in its middle."""
         for n, fault in enumerate(self.plan.faults):
-            if fault.what not in self.world.PLAYED and fault.what not in self.world.others:
+            if fault.what not in self.world.SUPPORTED_FAULTS and fault.what not in self.world.others:
                 raise BadFile(f"faults[{n}].what: {fault.what} is not played here")
 
     def put_shims(self) -> None:
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -50,7 +50,7 @@
     "ROOT_FAIL": ORIGIN_FAILED,
 }
 WORDS = {"ACK": "completed", "NOENT": "missing", "AGAIN": "full", "EIO": "error"}
-KNOWN = Faults.PLAYED - {"stop"}
+KNOWN = Faults.SUPPORTED_FAULTS - {"stop"}
 
 
 class Clock:
--- a/fieldspur/lab/soak/world.py
+++ b/fieldspur/lab/soak/world.py
@@ -19,7 +19,7 @@
 class SoakWorld(World):
     """Servers behind fault proxies, which read what routers write also while a server reads nothing."""
 
-    PLAYED = World.PLAYED | {"net_delay", "net_pieces", "net_cut", "net_stall", "mass_crash", "list_flaps", "new_names"}
+    SUPPORTED_FAULTS = World.SUPPORTED_FAULTS | {"net_delay", "net_pieces", "net_cut", "net_stall", "mass_crash", "list_flaps", "new_names"}
     sees_writers = True
 
     def __init__(self, *about):
