--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -233,7 +233,7 @@
         self.discovery = DiscoveryServer(
             loop, [{"rev": 1, "pool": {"index": 1, "snapshot": True, "endpoints": [self.row(name) for name in self.models]}}]
         )
-        self.others: dict[str, Callable] = {}  # faults that are not of the servers, by what happens
+        self.other_faults: dict[str, Callable] = {}  # faults that are not of the servers, by what happens
 
     def row(self, name: str, status: str = "up") -> dict:
         model = self.models[name]
@@ -294,7 +294,7 @@
         elif fault.what == "board_break":
             self.discovery.break_off()
         else:
-            self.others[fault.what](fault)
+            self.other_faults[fault.what](fault)
         return None
 
     def resets(self, fronts: list[ServerFrontend], until: int) -> None:
--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -79,7 +79,7 @@
         )
         self.orders = Orders(self.checker, plan.routers, self.open_at, max(1, most))
         self.orders.on_free = self.work_on
-        self.world.others |= {
+        self.world.other_faults |= {
             "router_hup": self.hup,
             "link_cut": self.cut,
             "link_stall": self.stall,
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -138,7 +138,7 @@
         if folder:
             folder.mkdir(parents=True, exist_ok=True)
         self.nodes = [self.ROUTER(n, self.world, Path(self.folder.name), self.build, command, folder) for n in range(plan.routers)]
-        self.world.others = {
+        self.world.other_faults = {
             "router_restart": self.router_restart,
             "reload": self.reload,
             "router_kill": self.kill,
@@ -154,7 +154,7 @@
     def refuse_unknown(self) -> None:
         """Raises BadFile where the scenario names a fault that is not played here: it would end the play in its middle."""
         for n, fault in enumerate(self.plan.faults):
-            if fault.what not in self.world.SUPPORTED_FAULTS and fault.what not in self.world.others:
+            if fault.what not in self.world.SUPPORTED_FAULTS and fault.what not in self.world.other_faults:
                 raise BadFile(f"faults[{n}].what: {fault.what} is not played here")
 
     def put_shims(self) -> None:
--- a/fieldspur/lab/soak/play.py
+++ b/fieldspur/lab/soak/play.py
@@ -44,7 +44,7 @@
         self.kept_logs = tempfile.TemporaryDirectory(prefix="fieldspur-soak-") if logs is None else None
         self.log_folder = Path(logs or self.kept_logs.name)
         super().__init__(plan, build, str(self.log_folder), command, live)
-        self.world.others |= {
+        self.world.other_faults |= {
             "clock_step": self.clock_step,
             "late_dials": self.late_dials,
             "watch_stall": self.watch_stall,
