--- a/fieldspur/lab/emulate/faults.py
+++ b/fieldspur/lab/emulate/faults.py
@@ -71,7 +71,7 @@
             if model is not self.store:
                 self.clock.later(int(self.random.uniform(0.2, 0.9) * GONE_EVERYWHERE), lambda model=model: model.purge(group, now))
 
-    def begin(self, fault) -> None:
+    def inject(self, fault) -> None:
         """The fault happens; what lasts is undone by a timer."""
         names, undo = self.chosen(fault), None
         models = [self.models[name] for name in names]
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -303,7 +303,7 @@
             self.loop, self.plan, self.checker, [node.address for node in self.nodes], self.begin, self.world.kb_of
         )
         for fault in self.plan.faults:
-            self.loop.at(self.begin + int(fault.at * SECOND), lambda fault=fault: self.world.begin(fault))
+            self.loop.at(self.begin + int(fault.at * SECOND), lambda fault=fault: self.world.inject(fault))
         self.go_without(self.missing)
         self.begun()
         self.sample()
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -359,7 +359,7 @@
         objects = catalog.Popular(row, plan.seed, catalog.kind(row.rule) == "repeatable")
         world.plan_next(row, objects, catalog.Arrivals(row, plan.load.waves, plan.seed), 0.0)
     for fault in plan.faults:
-        world.clock.later(int(fault.at * SECOND), lambda fault=fault: world.begin(fault))
+        world.clock.later(int(fault.at * SECOND), lambda fault=fault: world.inject(fault))
     world.sample()
     world.clock.run(world.ends + 10 * SECOND)
     world.checker.finish(world.clock.time)
