--- a/fieldspur/lab/emulate/faults.py
+++ b/fieldspur/lab/emulate/faults.py
@@ -20,7 +20,7 @@
         self.clock, self.random = clock, chance
         self.models: dict = {}
         self.store = None
-        self.fell: list[str] = []
+        self.overload_crashes: list[str] = []
 
     def down(self, name: str) -> None:
         raise NotImplementedError
@@ -60,7 +60,7 @@
 
     def fall(self, server) -> None:
         """A cold server that was pushed over."""
-        self.fell.append(server.name)
+        self.overload_crashes.append(server.name)
         self.restart(server.name)
 
     def purge(self, group: int) -> None:
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -350,7 +350,7 @@
             "seconds": plan.seconds,
             "build": str(self.build.name),
             **found,
-            "fell": self.world.fell,
+            "fell": self.world.overload_crashes,
             "bad_clients": dict(load.bad),
             "lab_lag_ms": self.loop.lag // 1_000_000,
             "rules": {str(rule): rows for rule, rows in self.checker.violations.items()},
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -375,7 +375,7 @@
         "build": "simulated time",
         "size": msgspec.to_builtins(world.size),
         **counted,
-        "fell": world.fell,
+        "fell": world.overload_crashes,
         "worst_crowd": max((row["caches"][0] for row in world.curve if row["second"] >= plan.warm), default=0),
         "rules": {str(rule): rows for rule, rows in world.checker.violations.items()},
         "counts": dict(world.checker.counts),
