--- a/fieldspur/lab/emulate/faults.py
+++ b/fieldspur/lab/emulate/faults.py
@@ -28,10 +28,10 @@
     def back(self, name: str) -> None:
         raise NotImplementedError
 
-    def tell(self, names: list[str], state: str) -> None:
+    def announce(self, names: list[str], state: str) -> None:
         raise NotImplementedError
 
-    def purge_told(self, group: int, now: int) -> None:
+    def announce_purge(self, group: int, now: int) -> None:
         raise NotImplementedError
 
     def quiet(self, name: str, yes: bool, stopped: bool) -> None:
@@ -66,7 +66,7 @@
     def purge(self, group: int) -> None:
         """By the store's word copies given out before now will not do. To the servers its word comes later."""
         now = self.clock.now() // MS * MS
-        self.purge_told(group, now)
+        self.announce_purge(group, now)
         for name, model in self.models.items():
             if model is not self.store:
                 self.clock.later(int(self.random.uniform(0.2, 0.9) * GONE_EVERYWHERE), lambda model=model: model.purge(group, now))
@@ -97,8 +97,8 @@
             each(lambda model: setattr(model, "errors", min(1.0, fault.times / 100)))
             undo = lambda: each(lambda model: setattr(model, "errors", 0.0))
         elif fault.what == "drain":
-            self.tell(names, "draining")
-            undo = lambda: self.tell(names, "up")
+            self.announce(names, "draining")
+            undo = lambda: self.announce(names, "up")
         elif fault.what == "restart":
             for name in names:
                 self.restart(name)
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -179,7 +179,7 @@
         conn.write(b"".join(json.dumps(event).encode() + b"\n" for event in self.events[self.watchers[conn] :]))
         self.watchers[conn] = len(self.events)
 
-    def tell(self, *events: dict) -> None:
+    def publish(self, *events: dict) -> None:
         for event in events:
             self.events.append({"rev": len(self.events) + 1, **event})
         for conn in list(self.watchers):
@@ -258,15 +258,15 @@
     def offered(self, server: Server, work: int) -> None:
         self.checker.asked_of_cold(server.name, server.current_rating(), work, self.loop.now())
 
-    def tell(self, names: list[str], status: str) -> None:
-        self.tell_rows([self.row(name, status) for name in names], status)
+    def announce(self, names: list[str], status: str) -> None:
+        self.announce_rows([self.row(name, status) for name in names], status)
 
-    def tell_rows(self, rows: list[dict], status: str) -> None:
+    def announce_rows(self, rows: list[dict], status: str) -> None:
         """Discovery tells of these endpoints, which are all in that state."""
         now = self.loop.now()
         for row in rows:
             self.checker.told(row["name"], status, now)
-        self.discovery.tell({"pool": {"index": 1, "snapshot": False, "endpoints": rows}})
+        self.discovery.publish({"pool": {"index": 1, "snapshot": False, "endpoints": rows}})
 
     def down(self, name: str) -> None:
         self.fronts[name].down()
@@ -274,13 +274,13 @@
     def back(self, name: str) -> None:
         self.fronts[name].back()
         self.checker.started(name, self.loop.now())
-        self.tell([name], "up")
+        self.announce([name], "up")
 
     def quiet(self, name: str, yes: bool, stopped: bool) -> None:
         self.fronts[name].quiet(yes, stopped)
 
-    def purge_told(self, group: int, now: int) -> None:
-        self.discovery.tell(*({"flush": {"collection": one, "ms": now // MS}} for one in (range(256) if group < 0 else (group,))))
+    def announce_purge(self, group: int, now: int) -> None:
+        self.discovery.publish(*({"flush": {"collection": one, "ms": now // MS}} for one in (range(256) if group < 0 else (group,))))
         self.checker.purged(None, group, now, self.loop.now())
 
     def other(self, fault, names: list[str]):
--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -166,7 +166,7 @@
         while self.hand and len(self.hand_out) < fleet.hand_at_once:
             machine, needs = self.hand.pop(0)
             self.hand_out.add(machine)
-            self.world.tell([machine], "draining")
+            self.world.announce([machine], "draining")
             self.orders.steps.append((self.loop.now(), machine, "out", machine))
             self.loop.later(int(fleet.hand_drain_s * SECOND), lambda machine=machine, needs=needs: self.at_work(machine, needs))
 
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -253,7 +253,7 @@
             )
         fleet.list_ends()
 
-    def tell(self, names: list[str], state: str) -> None:
+    def announce(self, names: list[str], state: str) -> None:
         now = self.clock.time
         for name in names:
             self.checker.told(name, state, now)
@@ -276,7 +276,7 @@
         model = self.models[name]
         model.started = self.clock.time
         model.start_empty()
-        self.tell([name], "up")
+        self.announce([name], "up")
 
     # Load.
 
@@ -320,7 +320,7 @@
     def ended(self, txn: Txn, word: str) -> None:
         self.outcomes.ended(txn, word, self.clock.time)
 
-    def purge_told(self, group: int, now: int) -> None:
+    def announce_purge(self, group: int, now: int) -> None:
         self.checker.purged(None, group, now, now)
         for host in self.hosts:
 
--- a/fieldspur/lab/soak/world.py
+++ b/fieldspur/lab/soak/world.py
@@ -58,13 +58,13 @@
     def removed(self, names: list[str]) -> None:
         gone = [name for name in names if not self.models[name].up]
         if self.random.random() < 0.5:
-            return self.tell(gone, "removed") if gone else None
+            return self.announce(gone, "removed") if gone else None
         for name in gone:
-            self.loop.later(int(self.random.random() * REMOVAL_SPREAD), lambda name=name: self.tell([name], "removed"))
+            self.loop.later(int(self.random.random() * REMOVAL_SPREAD), lambda name=name: self.announce([name], "removed"))
 
     def return_of(self, name: str) -> None:
         if self.models[name].up:  # another trouble has brought it back
-            return self.tell([name], "up")
+            return self.announce([name], "up")
         if self.random.random() < 0.3:
             self.proxies[name].move()
         self.back(name)
@@ -78,20 +78,20 @@
     def flap(self, name: str, until: int) -> None:
         if self.loop.now() >= until:
             return
-        self.tell([name], "removed")
+        self.announce([name], "removed")
         wait = self.random.randint(*FLAP) * MS
         if self.random.random() < 0.5:
             row = self.row(name) | {"address": "127.0.0.1:%d" % free_port()}
-            self.loop.later(wait, lambda: self.tell_rows([row], "up"))
+            self.loop.later(wait, lambda: self.announce_rows([row], "up"))
             wait += self.random.randint(*FLAP) * MS
-        self.loop.later(wait, lambda: self.tell([name], "up"))
+        self.loop.later(wait, lambda: self.announce([name], "up"))
         self.loop.later(wait + self.random.randint(*FLAP) * MS, lambda: self.flap(name, until))
 
     def new_names(self, every: int, until: int) -> None:
         """Discovery lists a server that drains and removes it, and purges an object, none of which was named before or is again."""
         name = f"passing-{next(self.passing)}"
         row = endpoint(name, free_port(), "std", status="draining", weight=1.0, since_ms=0)
-        self.discovery.tell(
+        self.discovery.publish(
             {"pool": {"index": 1, "snapshot": False, "endpoints": [row]}},
             {"pool": {"index": 1, "snapshot": False, "endpoints": [row | {"status": "removed"}]}},
             {"flush": {"asset": f"{next(self.passing):016x}", "ms": self.loop.now() // MS}},
