--- a/fieldspur/lab/emulate/fault_proxy.py
+++ b/fieldspur/lab/emulate/fault_proxy.py
@@ -34,13 +34,13 @@
         for tunnel in list(self.tunnels) if not yes else ():
             tunnel.flush()
 
-    def down(self) -> None:
+    def take_down(self) -> None:
         """The server is gone: its connections reset, further ones are refused."""
         self.loop.unlisten(self.listener)
         for tunnel in list(self.tunnels):
             tunnel.end(reset=True)
 
-    def back(self) -> None:
+    def bring_back(self) -> None:
         self.listener = self.loop.listen(self.accepted, self.port)
 
     def move(self) -> None:
--- a/fieldspur/lab/emulate/faults.py
+++ b/fieldspur/lab/emulate/faults.py
@@ -22,10 +22,10 @@
         self.store = None
         self.overload_crashes: list[str] = []
 
-    def down(self, name: str) -> None:
+    def take_down(self, name: str) -> None:
         raise NotImplementedError
 
-    def back(self, name: str) -> None:
+    def bring_back(self, name: str) -> None:
         raise NotImplementedError
 
     def announce(self, names: list[str], state: str) -> None:
@@ -55,8 +55,8 @@
 
     def restart(self, name: str) -> None:
         if self.models[name].up:
-            self.down(name)
-            self.clock.later(BACK_AFTER, lambda: self.back(name))
+            self.take_down(name)
+            self.clock.later(BACK_AFTER, lambda: self.bring_back(name))
 
     def fall(self, server) -> None:
         """A cold server that was pushed over."""
@@ -81,8 +81,8 @@
 
         if fault.what == "die":
             for name in names:
-                self.down(name)
-            undo = lambda: [self.back(name) for name in names]
+                self.take_down(name)
+            undo = lambda: [self.bring_back(name) for name in names]
         elif fault.what in ("silent", "stop"):
             for name in names:
                 self.quiet(name, True, fault.what == "stop")
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -127,14 +127,14 @@
             (b"*9999999999\r\n" + data, data[: len(data) // 2] + b"\0" * 40, b"noise\r\n" + data, data.replace(b"$", b"$9", 1))
         )
 
-    def down(self) -> None:
+    def take_down(self) -> None:
         """The process dies: its connections reset, further ones are refused."""
         self.model.die()
         self.world.loop.unlisten(self.listener)
         for conn in list(self.conns):
             conn.reset()
 
-    def back(self) -> None:
+    def bring_back(self) -> None:
         """A new process at the old address: empty, cold."""
         self.model.started = self.world.loop.now()
         self.model.start_empty()
@@ -268,11 +268,11 @@
             self.checker.told(row["name"], status, now)
         self.discovery.publish({"pool": {"index": 1, "snapshot": False, "endpoints": rows}})
 
-    def down(self, name: str) -> None:
-        self.fronts[name].down()
+    def take_down(self, name: str) -> None:
+        self.fronts[name].take_down()
 
-    def back(self, name: str) -> None:
-        self.fronts[name].back()
+    def bring_back(self, name: str) -> None:
+        self.fronts[name].bring_back()
         self.checker.started(name, self.loop.now())
         self.announce([name], "up")
 
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -266,13 +266,13 @@
     def offered(self, server: Server, work: int) -> None:
         self.checker.asked_of_cold(server.name, server.current_rating(), work, self.clock.time)
 
-    def down(self, name: str) -> None:
+    def take_down(self, name: str) -> None:
         self.models[name].die()
         out, self.out_at[name] = self.out_at[name], set()
         for host, ident, number in sorted(out, key=lambda row: row[1:]):
             host.broken(ident, number)
 
-    def back(self, name: str) -> None:
+    def bring_back(self, name: str) -> None:
         model = self.models[name]
         model.started = self.clock.time
         model.start_empty()
--- a/fieldspur/lab/soak/world.py
+++ b/fieldspur/lab/soak/world.py
@@ -37,21 +37,21 @@
         origin = self.origins.get(conn.sock.getpeername()[1])
         return origin.times if origin is not None else super().times_of(conn)
 
-    def down(self, name: str) -> None:
+    def take_down(self, name: str) -> None:
         if self.models[name].up:  # another trouble may have it down already
-            super().down(name)
-            self.proxies[name].down()
+            super().take_down(name)
+            self.proxies[name].take_down()
 
-    def back(self, name: str) -> None:
+    def bring_back(self, name: str) -> None:
         if not self.models[name].up:
-            self.proxies[name].back()
-            super().back(name)
+            self.proxies[name].bring_back()
+            super().bring_back(name)
 
     def mass_crash(self, fault, names: list[str]):
         """All crash within `CRASH_SPREAD`; discovery removes them, together or one by one, and lists those that are back, each at its
         address or at another."""
         for name in names:
-            self.loop.later(int(self.random.random() * CRASH_SPREAD), lambda name=name: self.down(name))
+            self.loop.later(int(self.random.random() * CRASH_SPREAD), lambda name=name: self.take_down(name))
         self.loop.later(int(fault.times * MS), lambda: self.removed(names))
         return lambda: [self.return_of(name) for name in names]
 
@@ -67,7 +67,7 @@
             return self.announce([name], "up")
         if self.random.random() < 0.3:
             self.proxies[name].move()
-        self.back(name)
+        self.bring_back(name)
 
     def list_flaps(self, fault, names: list[str]) -> None:
         """Servers that stay as they are leave the list and come again, some first with an address that refuses."""
