--- a/fieldspur/lab/emulate/faults.py
+++ b/fieldspur/lab/emulate/faults.py
@@ -34,10 +34,10 @@
     def announce_purge(self, group: int, now: int) -> None:
         raise NotImplementedError
 
-    def quiet(self, name: str, yes: bool, stopped: bool) -> None:
+    def set_silent(self, name: str, yes: bool, stopped: bool) -> None:
         self.models[name].silent = yes
 
-    def other(self, fault, names: list[str]) -> None:
+    def inject_other(self, fault, names: list[str]) -> None:
         """A fault that is not of all worlds."""
         raise NotImplementedError
 
@@ -58,7 +58,7 @@
             self.take_down(name)
             self.clock.later(BACK_AFTER, lambda: self.bring_back(name))
 
-    def fall(self, server) -> None:
+    def crash_overloaded(self, server) -> None:
         """A cold server that was pushed over."""
         self.overload_crashes.append(server.name)
         self.restart(server.name)
@@ -85,8 +85,8 @@
             undo = lambda: [self.bring_back(name) for name in names]
         elif fault.what in ("silent", "stop"):
             for name in names:
-                self.quiet(name, True, fault.what == "stop")
-            undo = lambda: [self.quiet(name, False, False) for name in names]
+                self.set_silent(name, True, fault.what == "stop")
+            undo = lambda: [self.set_silent(name, False, False) for name in names]
         elif fault.what == "slow":
             each(lambda model: model.link.change(slowdown=fault.times))
             undo = lambda: each(lambda model: model.link.change(slowdown=1.0))
@@ -108,6 +108,6 @@
             self.store.link.change(slowdown=fault.times)
             undo = lambda: self.store.link.change(slowdown=1.0)
         else:
-            undo = self.other(fault, names)
+            undo = self.inject_other(fault, names)
         if undo is not None and fault.lasts:
             self.clock.later(int(fault.lasts * SECOND), undo)
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -140,11 +140,11 @@
         self.model.start_empty()
         self.listener = self.listen(self.port)
 
-    def quiet(self, yes: bool, stopped: bool) -> None:
+    def set_silent(self, yes: bool, stopped: bool) -> None:
         self.model.silent = yes
         for conn in self.conns:
             conn.pause(yes and stopped)
-        if yes and stopped and not self.world.sees_writers:
+        if yes and stopped and not self.world.tracks_sent_bytes:
             self.look()
 
     def look(self) -> None:
@@ -207,7 +207,7 @@
     """All that stands behind the routers on sockets."""
 
     SUPPORTED_FAULTS = Faults.SUPPORTED_FAULTS | {"garble", "reset", "board_break"}
-    sees_writers = False  # something before a server notes when routers hand their bytes over, whether the server reads or not
+    tracks_sent_bytes = False  # something before a server notes when routers hand their bytes over, whether the server reads or not
 
     def __init__(self, loop: Loop, plan, checker: Checker):
         super().__init__(loop, random.Random(f"{plan.seed} faults"))
@@ -226,7 +226,7 @@
             for n in range(count):
                 name = f"{'cache' if kind == 'std' else 'parent'}-{n}"
                 model = Server(loop, name, kind, rating, mb * 1024, catalog.KB_PER_S, rows, seed=plan.seed)
-                model.store, model.on_offered, model.on_fall = self.store, self.offered, self.fall
+                model.store, model.on_offered, model.on_fall = self.store, self.offered, self.crash_overloaded
                 self.models[name] = model
                 self.fronts[name] = ServerFrontend(self, model, kind)
         self.store_listener = loop.listen(lambda conn: None)
@@ -276,14 +276,14 @@
         self.checker.started(name, self.loop.now())
         self.announce([name], "up")
 
-    def quiet(self, name: str, yes: bool, stopped: bool) -> None:
-        self.fronts[name].quiet(yes, stopped)
+    def set_silent(self, name: str, yes: bool, stopped: bool) -> None:
+        self.fronts[name].set_silent(yes, stopped)
 
     def announce_purge(self, group: int, now: int) -> None:
         self.discovery.publish(*({"flush": {"collection": one, "ms": now // MS}} for one in (range(256) if group < 0 else (group,))))
         self.checker.purged(None, group, now, self.loop.now())
 
-    def other(self, fault, names: list[str]):
+    def inject_other(self, fault, names: list[str]):
         fronts = [self.fronts[name] for name in names]
         if fault.what == "garble":
             for front in fronts:
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -213,7 +213,7 @@
             for n in range(count):
                 name, zone = f"{'cache' if kind == 'std' else 'parent'}-{n}", n % size.zones
                 model = Server(self.clock, name, kind, rating, mb * 1024, catalog.KB_PER_S, rows, zone=zone, seed=plan.seed)
-                model.store, model.on_offered, model.on_fall = self.store, self.offered, self.fall
+                model.store, model.on_offered, model.on_fall = self.store, self.offered, self.crash_overloaded
                 self.models[name] = model
                 self.out_at[name] = set()
                 if kind == "std":
--- a/fieldspur/lab/soak/world.py
+++ b/fieldspur/lab/soak/world.py
@@ -20,7 +20,7 @@
     """Servers behind fault proxies, which read what routers write also while a server reads nothing."""
 
     SUPPORTED_FAULTS = World.SUPPORTED_FAULTS | {"net_delay", "net_pieces", "net_cut", "net_stall", "mass_crash", "list_flaps", "new_names"}
-    sees_writers = True
+    tracks_sent_bytes = True
 
     def __init__(self, *about):
         self.proxies: dict[str, Proxy] = {}
@@ -99,7 +99,7 @@
         if self.loop.now() + every < until:
             self.loop.later(every, lambda: self.new_names(every, until))
 
-    def other(self, fault, names: list[str]):
+    def inject_other(self, fault, names: list[str]):
         proxies = [self.proxies[name] for name in names if name in self.proxies]
         if fault.what == "net_delay":
             return self.setting(proxies, "delay", int(fault.times * MS), 0)
@@ -117,7 +117,7 @@
             return self.list_flaps(fault, names)
         if fault.what == "new_names":
             return self.new_names(int(SECOND / fault.times), self.loop.now() + int(fault.lasts * SECOND))
-        return super().other(fault, names)
+        return super().inject_other(fault, names)
 
     @staticmethod
     def setting(proxies: list[Proxy], name: str, value, after):
