--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -128,7 +128,7 @@
     for service in services:
         service.client()
     started_at = time.time() + 0.3
-    board.tell(2, pool={"index": 2, "snapshot": True, "endpoints": endpoints(caches, rating, started_at)})
+    board.add_event(2, pool={"index": 2, "snapshot": True, "endpoints": endpoints(caches, rating, started_at)})
     capacity = 2.5 * rating / (TXN_KB / 2800.0)  # hops a second at the limit once the cache is warmed up
     weights = [1 + n % 5 for n in range(router_count)]
     loads = [Load(service, max(2 * capacity, 300) * weight / sum(weights), n) for n, (service, weight) in enumerate(zip(services, weights))]
