--- a/fieldspur/lab/runs/fleet_run.py
+++ b/fieldspur/lab/runs/fleet_run.py
@@ -1,5 +1,5 @@
-"""Routers that settle things among themselves, as a scenario's `fleet` wants them: processes with a link of its own for each directed
-pair, what goes wrong with both, orders of work, and machines that are worked on once they are free."""
+"""Runs a scenario whose routers form a fleet. Each router reads the lines of each other router over a link of its own, and faults hit
+routers and links. Work orders are requested, and a machine is restarted once the fleet has reported it free."""
 
 from __future__ import annotations
 
@@ -17,35 +17,39 @@
 from fieldspur.lab.emulate.server_model import MS, SECOND
 from fieldspur.lab.runs.scenario_run import RouterProcess, ScenarioRun
 
-HOST = "127.%d.%d.3" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # else a link may connect to itself
-FOUND_WAIT = 15 * SECOND
-AGAIN = 100 * MS  # a member that does not publish is asked again
+# Of its own for each laboratory process: otherwise a link may connect to itself.
+HOST = "127.%d.%d.3" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)
+FOUNDING_TIMEOUT = 15 * SECOND  # for the fleet to be founded before the load
+RETRY_INTERVAL = 100 * MS  # between connections to a member that does not publish
 
 
 class FleetMember(RouterProcess):
-    """A router with an operators' file."""
+    """A router that is a member of the fleet, with an operators' file and a link to each other member."""
 
-    def __init__(self, *about):
-        super().__init__(*about)
-        self.where = (HOST, free_port(HOST))
+    def __init__(self, *args):
+        super().__init__(*args)
+        self.listen_address = (HOST, free_port(HOST))
         self.folder = self.path.parent / f"fleet-{self.number}"
         self.folder.mkdir()
-        self.links: dict[int, Relay] = {}  # what it reads of each other
-        self.wishes: list[dict] = []
-        self.first = False
+        self.links: dict[int, Relay] = {}  # by the number of the member whose lines this one reads over the link
+        self.work_requests: list[dict] = []
+        self.is_founder = False
 
-    def write_wishes(self, members: list[FleetMember]) -> None:
+    def write_operators_file(self, members: list[FleetMember]) -> None:
+        """Writes the operators' file with the members' addresses and the work requests of this router."""
         fleet = self.world.plan.fleet
         value = {
             "name": "lab",
             "lease_s": fleet.lease_s,
             "unsure": fleet.unsure,
             "bounds": fleet.bounds,
-            "work": self.wishes,
-            "first": self.first,
+            "work": self.work_requests,
+            "first": self.is_founder,
             "members": {
-                f"n{one.number}": ("%s:%d east" % (one.where if one is self else ("127.0.0.1", self.links[one.number].port)))
-                for one in members
+                f"n{member.number}": (
+                    "%s:%d east" % (member.listen_address if member is self else ("127.0.0.1", self.links[member.number].port))
+                )
+                for member in members
             },
         }
         if fleet.folder:
@@ -60,16 +64,18 @@
 
 
 class FleetRun(ScenarioRun):
+    """A run whose routers form a fleet and take machines out for maintenance."""
+
     ROUTER = FleetMember
 
-    def __init__(self, plan, *about):
-        super().__init__(plan, *about)
+    def __init__(self, plan, *args):
+        super().__init__(plan, *args)
         self.chance = random.Random(f"{plan.seed} rig")
-        for a in self.nodes:
-            a.links = {b.number: Relay(self.loop, b.where, self.chance) for b in self.nodes if b is not a}
         for node in self.nodes:
-            node.write_wishes(self.nodes)
-        most = min(
+            node.links = {other.number: Relay(self.loop, other.listen_address, self.chance) for other in self.nodes if other is not node}
+        for node in self.nodes:
+            node.write_operators_file(self.nodes)
+        max_out = min(
             plan.fleet.bounds.get("at_once", 8),
             int(
                 min(plan.fleet.bounds.get("zone", 0.34), max(plan.fleet.bounds.get("all", 0.25), 1 / plan.servers.caches))
@@ -77,211 +83,231 @@
                 + 1e-9
             ),
         )
-        self.orders = Orders(self.checker, plan.routers, self.open_at, max(1, most))
+        self.orders = Orders(self.checker, plan.routers, self.open_at, max(1, max_out))
         self.orders.on_free = self.work_on
         self.world.other_faults |= {
-            "router_hup": self.hup,
-            "link_cut": self.cut,
-            "link_stall": self.stall,
-            "link_delay": self.delay,
-            "link_lose": self.lose,
+            "router_hup": self.hang_up_signal,
+            "link_cut": self.cut_links,
+            "link_stall": self.stall_links,
+            "link_delay": self.delay_links,
+            "link_lose": self.lose_lines,
         }
-        self.hand: list = []
-        self.hand_out: set[str] = set()
+        self.manual_work: list = []
+        self.manually_out: set[str] = set()
 
-    # Before the load: a fleet that begins, seen by what its members publish.
+    # Before the load the fleet is founded. The run follows its state by the lines that members publish.
 
-    def go(self) -> None:
+    def begin_load(self) -> None:
         for node in self.nodes:
-            self.watch(node)
-        self.found(self.loop.now() + FOUND_WAIT)
+            self.watch_member(node)
+        self.found_fleet(self.loop.now() + FOUNDING_TIMEOUT)
 
-    def found(self, until: int) -> None:
+    def found_fleet(self, until: int) -> None:
+        """Has the first router found the fleet, and begins the load once all members publish and one is the coordinator."""
         if len(self.orders.lives) == len(self.nodes) and all(self.orders.lives.values()) and self.orders.acting:
-            return super().go()
+            return super().begin_load()
         if self.loop.now() > until:
             self.orders.broken.append("the fleet did not begin; --logs keeps what its members said")
-            return super().go()
+            return super().begin_load()
         node = self.nodes[0]
-        node.first = not node.first
-        self.told(node)
-        self.loop.later(SECOND if node.first else AGAIN, lambda: self.found(until))
+        node.is_founder = not node.is_founder
+        self.reload_member(node)
+        self.loop.later(SECOND if node.is_founder else RETRY_INTERVAL, lambda: self.found_fleet(until))
 
-    def told(self, node: FleetMember) -> None:
-        node.write_wishes(self.nodes)
+    def reload_member(self, node: FleetMember) -> None:
+        """Writes the member's operators' file and sends SIGHUP so that the member reads it."""
+        node.write_operators_file(self.nodes)
         if node.process.poll() is None:
             node.process.send_signal(signal.SIGHUP)
 
-    def watch(self, node: FleetMember) -> None:
-        """The laboratory's own look at what a member publishes, not over a link."""
-        conn = self.loop.connect(node.where)
+    def watch_member(self, node: FleetMember) -> None:
+        """Reads the lines that a member publishes, over a connection that no fault hits."""
+        conn = self.loop.connect(node.listen_address)
 
-        def data(held: bytearray) -> None:
-            at = held.rfind(b"\n") + 1
-            for line in bytes(held[:at]).splitlines():
+        def receive(buffer: bytearray) -> None:
+            end = buffer.rfind(b"\n") + 1
+            for line in bytes(buffer[:end]).splitlines():
                 value = json.loads(line)
                 if isinstance(value, dict):
                     self.orders.line(node.number, value, len(line), self.loop.now())
-            del held[:at]
+            del buffer[:end]
 
-        conn.on_data, conn.on_close = data, lambda: self.loop.later(AGAIN, lambda: self.watch(node))
+        conn.on_data, conn.on_close = receive, lambda: self.loop.later(RETRY_INTERVAL, lambda: self.watch_member(node))
         conn.write(b"watch 0\n")
 
-    def begun(self) -> None:
+    def load_begun(self) -> None:
         fleet = self.plan.fleet
         if fleet.way == "fleet":
-            for n, ask in enumerate(fleet.work):
-                self.loop.at(self.begin + int(ask.at * SECOND), lambda ask=ask, n=n: self.ask(ask, f"order-{n}"))
+            for index, ask in enumerate(fleet.work):
+                self.loop.at(self.load_start + int(ask.at * SECOND), lambda ask=ask, index=index: self.request_work(ask, f"order-{index}"))
                 if ask.drop_at:
-                    self.loop.at(self.begin + int(ask.drop_at * SECOND), lambda n=n: self.drop(n))
+                    self.loop.at(self.load_start + int(ask.drop_at * SECOND), lambda index=index: self.withdraw_request(index))
         elif fleet.way == "hand" and fleet.work:
-            self.hand = [(ask.machine, ask.needs_s) for ask in fleet.work]
-            self.loop.at(self.begin + int(fleet.work[0].at * SECOND), self.by_hand)
-
-    def ask(self, ask, ident: str) -> None:
-        node = self.nodes[ask.router % len(self.nodes)]
-        row = {"id": ident, "machine": ask.machine, "needs_s": ask.needs_s}
-        node.wishes = [*node.wishes, row | ({"with": list(ask.beside)} if ask.beside else {})]
-        self.told(node)
-
-    def drop(self, n: int) -> None:
-        node = self.nodes[self.plan.fleet.work[n].router % len(self.nodes)]
-        node.wishes = [row for row in node.wishes if row["id"] != f"order-{n}"]
-        self.told(node)
+            self.manual_work = [(ask.machine, ask.needs_s) for ask in fleet.work]
+            self.loop.at(self.load_start + int(fleet.work[0].at * SECOND), self.drain_next)
+
+    def request_work(self, request, ident: str) -> None:
+        """Adds a work request to the operators' file of the router that the scenario names."""
+        node = self.nodes[request.router % len(self.nodes)]
+        row = {"id": ident, "machine": request.machine, "needs_s": request.needs_s}
+        node.work_requests = [*node.work_requests, row | ({"with": list(request.beside)} if request.beside else {})]
+        self.reload_member(node)
+
+    def withdraw_request(self, index: int) -> None:
+        """Takes a work request out of the operators' file again."""
+        node = self.nodes[self.plan.fleet.work[index].router % len(self.nodes)]
+        node.work_requests = [row for row in node.work_requests if row["id"] != f"order-{index}"]
+        self.reload_member(node)
 
     def open_at(self, machine: str) -> list:
-        """Requests that a server has open, or that name it as where a miss is filled from."""
+        """The idents of txns whose hops are open at a server, or that name the server as the source of a fill."""
         model = self.world.models[machine]
-        found = [asked.ident for asked in self.world.fronts[machine].open.values()]
-        return found + [asked.ident for front in self.world.fronts.values() for asked in front.open.values() if asked.source is model]
+        idents = [asked.ident for asked in self.world.fronts[machine].open.values()]
+        return idents + [asked.ident for front in self.world.fronts.values() for asked in front.open.values() if asked.source is model]
 
     def work_on(self, order) -> None:
-        """The machine is free: somebody works on it, and then it starts again."""
+        """The fleet has reported the machine free: its maintenance takes the time that the order needs, then the machine restarts."""
         self.loop.later(int(order.needs * SECOND), lambda: self.world.restart(order.machine))
 
-    # The same work as people do it today: the board drains one after the other in a fixed order, a fixed time each.
+    # For comparison, the same work by hand: machines are drained through discovery in a fixed order, with a fixed time for each.
 
-    def by_hand(self) -> None:
+    def drain_next(self) -> None:
+        """Drains machines in order, up to the number that may be out together."""
         fleet = self.plan.fleet
-        while self.hand and len(self.hand_out) < fleet.hand_at_once:
-            machine, needs = self.hand.pop(0)
-            self.hand_out.add(machine)
+        while self.manual_work and len(self.manually_out) < fleet.hand_at_once:
+            machine, duration_s = self.manual_work.pop(0)
+            self.manually_out.add(machine)
             self.world.announce([machine], "draining")
             self.orders.steps.append((self.loop.now(), machine, "out", machine))
-            self.loop.later(int(fleet.hand_drain_s * SECOND), lambda machine=machine, needs=needs: self.at_work(machine, needs))
+            self.loop.later(
+                int(fleet.hand_drain_s * SECOND), lambda machine=machine, duration_s=duration_s: self.maintain(machine, duration_s)
+            )
 
-    def at_work(self, machine: str, needs: float) -> None:
+    def maintain(self, machine: str, duration_s: float) -> None:
+        """Ends the drain of a machine: maintenance, restart, and a wait until the machine counts as warmed up."""
         self.orders.steps.append((self.loop.now(), machine, "free", machine))
 
-        def over() -> None:
+        def restart() -> None:
             self.world.restart(machine)
             self.orders.steps.append((self.loop.now(), machine, "back", machine))
-            self.loop.later(int(self.plan.fleet.hand_warm_s * SECOND) + BACK_AFTER, done)
+            self.loop.later(int(self.plan.fleet.hand_warm_s * SECOND) + BACK_AFTER, finish)
 
-        def done() -> None:
+        def finish() -> None:
             self.orders.steps.append((self.loop.now(), machine, "done", machine))
             self.orders.states[machine] = "done"
-            self.hand_out.discard(machine)
-            self.by_hand()
+            self.manually_out.discard(machine)
+            self.drain_next()
 
-        self.loop.later(int(needs * SECOND), over)
+        self.loop.later(int(duration_s * SECOND), restart)
 
-    # What goes wrong with routers and between them.
+    # Faults of routers and of the links between them.
 
     def routers(self, who: str) -> list[FleetMember]:
         if who == "acting":
             return [self.nodes[self.orders.acting[-1][1]]] if self.orders.acting else []
         return super().routers(who)
 
-    def hup(self, fault) -> None:
+    def hang_up_signal(self, fault) -> None:
+        """Sends SIGHUP to the routers that the fault names."""
         for node in self.routers(fault.who):
-            self.told(node)
+            self.reload_member(node)
 
-    def links(self, who: str) -> list[Relay]:
-        """`0>1`: what 0 reads of 1; `0,1|2`: between groups, both ways; `0`: all from and to it."""
+    def links_of(self, who: str) -> list[Relay]:
+        """The links that a fault names. `0>1`: router 0 reads the lines of router 1 over it; `0,1|2`: between two groups, both ways;
+        `0`: all links of router 0, both ways."""
         if ">" in who:
-            a, b = (list(map(int, part.split(","))) for part in who.split(">"))
-            return [self.nodes[x].links[y] for x in a for y in b if x != y]
+            readers, writers = (list(map(int, part.split(","))) for part in who.split(">"))
+            return [self.nodes[reader].links[writer] for reader in readers for writer in writers if reader != writer]
         if "|" in who:
             groups = [list(map(int, part.split(","))) for part in who.split("|")]
-            return [self.nodes[x].links[y] for one in groups for other in groups if one is not other for x in one for y in other]
-        mine = {node.number for node in self.routers(who)}
-        return [link for node in self.nodes for other, link in node.links.items() if (node.number in mine) != (other in mine)]
-
-    def cut(self, fault) -> None:
-        links = self.links(fault.who)
+            return [
+                self.nodes[reader].links[writer]
+                for group in groups
+                for other in groups
+                if group is not other
+                for reader in group
+                for writer in other
+            ]
+        numbers = {node.number for node in self.routers(who)}
+        return [link for node in self.nodes for other, link in node.links.items() if (node.number in numbers) != (other in numbers)]
+
+    def cut_links(self, fault) -> None:
+        links = self.links_of(fault.who)
         for link in links:
             link.cuts(True)
-        self.over(fault, lambda: [link.cuts(False) for link in links])
+        self.undo_later(fault, lambda: [link.cuts(False) for link in links])
 
-    def stall(self, fault) -> None:
-        links = self.links(fault.who)
+    def stall_links(self, fault) -> None:
+        links = self.links_of(fault.who)
         for link in links:
             link.stalls(True)
-        self.over(fault, lambda: [link.stalls(False) for link in links])
+        self.undo_later(fault, lambda: [link.stalls(False) for link in links])
 
-    def delay(self, fault) -> None:
-        links = self.links(fault.who)
+    def delay_links(self, fault) -> None:
+        links = self.links_of(fault.who)
         for link in links:
             link.delay = int(fault.times * MS)
-        self.over(fault, lambda: [setattr(link, "delay", 0) for link in links])
+        self.undo_later(fault, lambda: [setattr(link, "delay", 0) for link in links])
 
-    def lose(self, fault) -> None:
-        links = self.links(fault.who)
+    def lose_lines(self, fault) -> None:
+        """Links lose a share of their lines; the fault gives the share in per cent."""
+        links = self.links_of(fault.who)
         for link in links:
             link.lost = min(1.0, fault.times / 100)
-        self.over(fault, lambda: [setattr(link, "lost", 0.0) for link in links])
+        self.undo_later(fault, lambda: [setattr(link, "lost", 0.0) for link in links])
 
-    # What came out.
+    # The result.
 
     def figures(self) -> dict:
-        found, fleet = super().figures(), self.plan.fleet
+        figures, fleet = super().figures(), self.plan.fleet
         steps = [
-            {"second": round((at - self.begin) / SECOND, 2), "machine": machine, "state": state, "order": ident}
+            {"second": round((at - self.load_start) / SECOND, 2), "machine": machine, "state": state, "order": ident}
             for at, machine, state, ident in self.orders.steps
         ]
         counts = self.orders.counts()
-        whole = [step["second"] for step in steps if step["state"] == "done"]
-        asked = min((ask.at for ask in fleet.work), default=0.0)
-        floor = self.min_length()
-        length = round(max(whole) - asked, 2) if len(whole) == len(fleet.work) and whole else None
+        done_seconds = [step["second"] for step in steps if step["state"] == "done"]
+        first_request = min((ask.at for ask in fleet.work), default=0.0)
+        min_length = self.min_length()
+        length = round(max(done_seconds) - first_request, 2) if len(done_seconds) == len(fleet.work) and done_seconds else None
         seconds = max(1.0, self.plan.seconds)
-        found["fleet"] = {
+        figures["fleet"] = {
             "way": fleet.way,
             "orders": counts,
             "steps": steps,
             "length_s": length,
-            "floor_s": round(floor, 2),
-            "over_floor": round(length / floor, 3) if length and floor else None,
-            "acting": [{"second": round((at - self.begin) / SECOND, 2), "member": who} for at, who in self.orders.acting],
+            "floor_s": round(min_length, 2),
+            "over_floor": round(length / min_length, 3) if length and min_length else None,
+            "acting": [{"second": round((at - self.load_start) / SECOND, 2), "member": who} for at, who in self.orders.acting],
             "documents": len(self.orders.documents),
             "lines_a_second": round(self.orders.lines / seconds / len(self.nodes), 2),
             "bytes_a_second": round(self.orders.size / seconds / len(self.nodes)),
             "broken": self.orders.broken,
             "notes": [
-                {"second": round((at - self.begin) / SECOND, 2), "machine": machine, "note": note}
+                {"second": round((at - self.load_start) / SECOND, 2), "machine": machine, "note": note}
                 for at, machine, note in self.orders.words[:500]
             ],
         }
-        found["missed"] += [f"orders: {text}" for text in self.orders.broken[:5]]
+        figures["missed"] += [f"orders: {text}" for text in self.orders.broken[:5]]
         done = counts.get("done", 0) + counts.get("dropped", 0)
         if fleet.way != "untouched" and done < self.plan.expect.orders * len(fleet.work):
-            found["missed"].append(f"orders: {counts}, at least {self.plan.expect.orders:g} of {len(fleet.work)} done expected")
-        found["passed"] = not found["missed"]
-        return found
+            figures["missed"].append(f"orders: {counts}, at least {self.plan.expect.orders:g} of {len(fleet.work)} done expected")
+        figures["passed"] = not figures["missed"]
+        return figures
 
     def min_length(self) -> float:
-        """s that no plan within the bounds can be shorter than, as the planner says for the machines as they are."""
+        """The least time in seconds that a plan within the bounds takes for all orders, as the planner computes it."""
         fleet, servers = self.plan.fleet, self.plan.servers
         machines = {
             name: planner.Machine("east", model.kind == "parent", model.rating, 0.0, 0.0)
             for name, model in self.world.models.items()
             if model.kind in ("std", "parent")
         }
-        names = {"fills_s": "fills"}
-        park = planner.MachinePool(machines, planner.Bounds(**{names.get(key, key): to for key, to in fleet.bounds.items()}))
+        field_names = {"fills_s": "fills"}
+        machine_pool = planner.MachinePool(
+            machines, planner.Bounds(**{field_names.get(key, key): bound for key, bound in fleet.bounds.items()})
+        )
         units = [
-            planner.Unit(f"{n}", frozenset((ask.machine,)), PLANNED_DRAIN_S + ask.needs_s + servers.ramp_s)
-            for n, ask in enumerate(fleet.work)
+            planner.Unit(f"{index}", frozenset((ask.machine,)), PLANNED_DRAIN_S + ask.needs_s + servers.ramp_s)
+            for index, ask in enumerate(fleet.work)
         ]
-        return planner.make_plan(units, [], park).min_length if units else 0.0
+        return planner.make_plan(units, [], machine_pool).min_length if units else 0.0
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -31,7 +31,7 @@
 from fieldspur.lab.emulate.faults import Faults
 from fieldspur.lab.emulate.server_model import ReceivedHop, Server, Store
 from fieldspur.lab.runs.scenario import Far
-from fieldspur.lab.runs.scenario_run import missed, recoveries
+from fieldspur.lab.runs.scenario_run import missed_expectations, recovery_times
 from fieldspur.operators import BadFile
 from fieldspur.site import build_router, deployment
 
@@ -380,7 +380,7 @@
         "rules": {str(rule): rows for rule, rows in world.checker.violations.items()},
         "counts": dict(world.checker.counts),
         "crashed": [],
-        "recovers_s": recoveries(counted["ticks"], plan),
+        "recovers_s": recovery_times(counted["ticks"], plan),
         "curve": world.curve,
         "events": world.clock.events,
         "took_s": round(took, 1),
@@ -388,6 +388,6 @@
         "said": dict(world.said.most_common(20)),
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
     }
-    found["missed"] = missed(found, plan.expect)
+    found["missed"] = missed_expectations(found, plan.expect)
     found["passed"] = not found["missed"]
     return found
--- a/fieldspur/lab/soak/clients.py
+++ b/fieldspur/lab/soak/clients.py
@@ -24,12 +24,12 @@
         self.used_at = load.loop.now()
         load.loop.later(CLIENT_IDLE, self.rest)
 
-    def ask(self, txn: Txn) -> None:
+    def send_request(self, txn: Txn) -> None:
         self.used_at = self.load.loop.now()
-        super().ask(txn)
+        super().send_request(txn)
 
-    def answer(self, stream: int, payload: bytes) -> None:
-        super().answer(stream, payload)
+    def receive_answer(self, stream: int, payload: bytes) -> None:
+        super().receive_answer(stream, payload)
         if not self.open and not self.conn.closed and self.load.chance.random() < self.load.plan.load.churn:
             self.conn.close()
 
@@ -55,7 +55,7 @@
     def go_on(self) -> None:
         """This client uses its connection for as long as it stands, whatever its router has said."""
         load = self.load
-        if self.conn.closed or load.loop.now() >= load.ends:
+        if self.conn.closed or load.loop.now() >= load.load_end:
             return
         if len(self.open) < MOST_GOING_ON:
             load.one_more(self)
@@ -69,7 +69,7 @@
             for stream in self.open:
                 load.checker.withdrew(self, stream, now)
         again = {one.ident for one in load.checker.ended(self, now, load.killed(self.router), used, turned_away)}
-        load.lines[self.router].discard(self)
+        load.connections[self.router].discard(self)
         open_now, self.open = list(self.open.values()), {}
         for txn in open_now:
             if again:
@@ -109,25 +109,25 @@
         row, objects = self.chance.choice(list(self.drawn.values()))
         txn = self.made(row, objects, self.loop.now())
         self.outcomes.tried += 1
-        line.ask(txn)
-        self.asked(line, txn)
+        line.send_request(txn)
+        self.request_sent(line, txn)
 
-    def asked(self, line: ClientConnection, txn: Txn) -> None:
+    def request_sent(self, line: ClientConnection, txn: Txn) -> None:
         if self.chance.random() < self.plan.load.cancels:
             stream = line.stream
             self.loop.later(int(self.chance.expovariate(8) * SECOND), lambda: line.give_up(stream))
 
     def next_hang_up(self) -> None:
-        if self.loop.now() >= self.ends:
+        if self.loop.now() >= self.load_end:
             return
-        lines = [line for lines in self.lines for line in lines if line.open and not line.slow and not line.conn.connecting]
+        lines = [line for lines in self.connections for line in lines if line.open and not line.slow and not line.conn.connecting]
         if lines:
             self.chance.choice(lines).hang_up(self.chance.random() < 0.5)
         self.loop.later(int(self.chance.expovariate(self.plan.load.hang_ups) * SECOND), self.next_hang_up)
 
-    def left(self, line: ClientConnection) -> None:
+    def router_leaving(self, line: ClientConnection) -> None:
         """A router said that it takes nothing new; this client hears of it a moment later, or does not care."""
-        line.leaving = False
+        line.router_ending = False
         if self.chance.random() < self.plan.load.stays:
             return line.go_on()
-        self.loop.later(int(self.chance.random() * STILL_ASKED), lambda: setattr(line, "leaving", True))
+        self.loop.later(int(self.chance.random() * STILL_ASKED), lambda: setattr(line, "router_ending", True))
--- a/fieldspur/lab/soak/node.py
+++ b/fieldspur/lab/soak/node.py
@@ -28,10 +28,12 @@
         self.ending = False  # was told to end, and has not started again
         self.level: dict = {}  # files and threads before the load
 
-    def board_port(self, board: DiscoveryServer) -> int:
-        if board not in self.links:
-            self.links[board] = Relay(self.world.loop, ("127.0.0.1", board.port), random.Random(f"{self.world.plan.seed} {self.number}"))
-        return self.links[board].port
+    def discovery_port(self, discovery: DiscoveryServer) -> int:
+        if discovery not in self.links:
+            self.links[discovery] = Relay(
+                self.world.loop, ("127.0.0.1", discovery.port), random.Random(f"{self.world.plan.seed} {self.number}")
+            )
+        return self.links[discovery].port
 
     def adjust(self, conf: dict) -> None:
         conf["listen"] = "%s:%d" % self.address
--- a/fieldspur/lab/soak/play.py
+++ b/fieldspur/lab/soak/play.py
@@ -38,7 +38,7 @@
 
 class Soak(ScenarioRun):
     ROUTER, WORLD, LOAD_GENERATOR = SoakRouter, SoakWorld, SoakLoadGenerator
-    SHIMS = True
+    ALWAYS_SHIM = True
 
     def __init__(self, plan, build, logs, command, live):
         self.kept_logs = tempfile.TemporaryDirectory(prefix="fieldspur-soak-") if logs is None else None
@@ -72,7 +72,7 @@
         def ready(node: SoakRouter) -> None:
             waiting.discard(node.number)
             if not waiting:
-                self.go()
+                self.begin_load()
 
         def look(node: SoakRouter) -> None:
             if self.loop.stopped:
@@ -88,9 +88,9 @@
 
     def second(self) -> float:
         """Of the run, as in the list of its faults."""
-        return (self.loop.now() - getattr(self, "begin", self.loop.now())) / SECOND
+        return (self.loop.now() - getattr(self, "load_start", self.loop.now())) / SECOND
 
-    def begun(self) -> None:
+    def load_begun(self) -> None:
         self.load.killed = lambda router: self.nodes[router].killed
         self.loop.stalls.clear()  # of starting all processes, before anything was judged
         self.checker.most_lag = 0
@@ -101,10 +101,10 @@
     # Troubles of routers.
 
     def clock_step(self, fault) -> None:
-        self.each(fault, lambda node: node.shim.step_clock(fault.times), lambda node: node.shim.step_clock(0))
+        self.apply_to_routers(fault, lambda node: node.shim.step_clock(fault.times), lambda node: node.shim.step_clock(0))
 
     def late_dials(self, fault) -> None:
-        self.each(fault, lambda node: node.shim.dial_delay(int(fault.times)), lambda node: node.shim.dial_delay(0))
+        self.apply_to_routers(fault, lambda node: node.shim.dial_delay(int(fault.times)), lambda node: node.shim.dial_delay(0))
 
     def deaf(self, fault) -> None:
         until = self.loop.now() + int(fault.lasts * SECOND) + HEARD_AFTER[fault.what]
@@ -113,7 +113,7 @@
 
     def watch_stall(self, fault) -> None:
         self.deaf(fault)
-        self.each(
+        self.apply_to_routers(
             fault,
             lambda node: [link.stalls(True) for link in node.links.values()],
             lambda node: [link.stalls(False) for link in node.links.values()],
@@ -121,7 +121,7 @@
 
     def watch_cut(self, fault) -> None:
         self.deaf(fault)
-        self.each(
+        self.apply_to_routers(
             fault,
             lambda node: [link.cuts(True) for link in node.links.values()],
             lambda node: [link.cuts(False) for link in node.links.values()],
@@ -162,7 +162,7 @@
 
     def router_restart(self, fault) -> None:
         """SIGTERM. New connections come for a while yet, requests on open ones for longer."""
-        node = self.node(fault)
+        node = self.router_of(fault)
         if node.process.poll() is not None or not self.here(node):
             return
         node.ended_at, node.ending = self.loop.now(), True
@@ -191,7 +191,7 @@
         if node.process.poll() is not None:
             return
         if not node.sleeping():
-            self.checker.killed(self.load.lines[node.number], self.loop.now(), node.ended_at)
+            self.checker.killed(self.load.connections[node.number], self.loop.now(), node.ended_at)
             self.checker.broke(
                 "shutdown",
                 f"router {node.number}: still there when it was killed, {(self.loop.now() - node.ended_at) // MS} ms after SIGTERM",
@@ -204,9 +204,9 @@
             return self.loop.later(20 * MS, lambda: self.await_end(node))
         if node.process.returncode and not node.killed:
             self.checker.broke("crash", f"router {node.number}: ended with code {node.process.returncode} on SIGTERM")
-        self.loop.later(END_SEEN, lambda: self.again(node))
+        self.loop.later(END_SEEN, lambda: self.start_again(node))
 
-    def again(self, node: SoakRouter) -> None:
+    def start_again(self, node: SoakRouter) -> None:
         node.ending = False
         node.start()
         self.loop.later(SECOND // 10, lambda: self.await_back(node))
@@ -217,7 +217,7 @@
             self.checker.broke(
                 "crash", f"router {node.number}: did not start again, code {node.process.returncode}: {self.last_line(node)}"
             )
-            return self.loop.later(SECOND, lambda: self.again(node))
+            return self.loop.later(SECOND, lambda: self.start_again(node))
         if took > READY_LONGEST:
             self.checker.broke("ready", f"router {node.number}: not ready after {took:.1f} s")
         self.ask_ready(node, lambda: self.back(node), lambda: self.await_back(node))
@@ -226,8 +226,8 @@
         """It is ready after a start: the front takes it in."""
         self.ready_after.append(time.monotonic() - node.started_at)
         self.load.gone_until[node.number] = 0
-        if node.owed_reload:
-            node.owed_reload = False
+        if node.reload_pending:
+            node.reload_pending = False
             node.process.send_signal(signal.SIGHUP)
 
     def ask_ready(self, node: SoakRouter, yes, no) -> None:
@@ -258,7 +258,7 @@
                 node.crashed = f"ended with code {node.process.returncode}"
                 self.checker.broke("crash", f"router {node.number}: {node.crashed}: {self.last_line(node)}")
                 self.load.gone_until[node.number] = self.loop.now() + 3600 * SECOND
-                self.loop.later(SECOND, lambda node=node: self.again(node))
+                self.loop.later(SECOND, lambda node=node: self.start_again(node))
         self.curve.clear()
         super().sample()
         if self.loop.stopped and not getattr(self, "settling", False):
