--- a/fieldspur/bench/start.py
+++ b/fieldspur/bench/start.py
@@ -20,7 +20,7 @@
 import tomllib
 from pathlib import Path
 
-from fieldspur.bench.count import LIMITS, passed
+from fieldspur.bench.count import LIMITS, exceeded_limits
 from fieldspur.bench.path import ROOT, BenchFailed, free_port
 from fieldspur.bench.sample_settings import node_file
 
@@ -142,4 +142,4 @@
 
 def guard(path: Path = LIMITS) -> list[str]:
     """What a start loads beyond its limits, a line each."""
-    return passed(counts(), json.loads(path.read_text())["start"], "a start")
+    return exceeded_limits(counts(), json.loads(path.read_text())["start"], "a start")
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -511,7 +511,7 @@
     rule = "media" if planted.startswith("copies") else "pages"
     code = (
         INJECTED_COSTS[planted] + "import json, os\nfrom fieldspur.bench import count\nlimits = json.loads(count.LIMITS.read_text())\n"
-        f"print(json.dumps(count.passed(count.counts({rule!r}, 30), limits[{rule!r}])), flush=True)\nos._exit(0)\n"
+        f"print(json.dumps(count.exceeded_limits(count.counts({rule!r}, 30), limits[{rule!r}])), flush=True)\nos._exit(0)\n"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT)
     named = [line.split(":")[0] for line in eval(done.stdout or repr([done.stderr]))]
@@ -526,7 +526,7 @@
 
 
 def test_a_count_above_its_limit_is_named_with_both():
-    assert count.passed({"calls": 90, "reads": 2}, {"calls": 80, "reads": 2}) == ["calls: 90 a txn, 80 allowed"]
+    assert count.exceeded_limits({"calls": 90, "reads": 2}, {"calls": 80, "reads": 2}) == ["calls: 90 a txn, 80 allowed"]
 
 
 @pytest.mark.parametrize("calls, named", [((111, 105, 99), []), ((101, 101, 101, 101), ["calls: 101 a txn, 100 allowed"])])
