--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -42,12 +42,12 @@
 CONNECTION_FAILURES = ("broken", "unsent", "unreachable")  # results of hops that failed with their connection
 
 # Waiting behind a leader.
-MAX_WAIT = 3 * SECOND  # the lock timeout of the source limits any wait
-MAX_WAITERS = 64  # txns that wait for one part of an object
+MAX_WAIT = 3 * SECOND  # no longer than the lock of a fill at its source lasts
+MAX_WAITERS = 64  # number of txns that may wait for one part of an object
 
 # Placement.
-CACHEABLE_RANK = 2  # rank of fills that leave a copy, above the lowest rank
-MAX_RANKINGS = 4096  # rendezvous rankings that are stored
+CACHEABLE_RANK = 2  # a cache keeps what it filled at a rank above the lowest, 0
+MAX_RANKINGS = 4096  # number of rendezvous rankings that are stored
 MIN_SHARE_FOR_OBJECT_HOMES = 0.25  # a router with a smaller share of its zone gives each part of an object its own home
 SPILL_UTILIZATION = 2.0  # utilization at which a home cache hands parts to other caches
 SPILL_UTILIZATION_FROM_HOME = 1.3  # like SPILL_UTILIZATION, but where the other caches fill from the home cache
@@ -56,12 +56,12 @@
 
 # Slow start.
 SLOW_START_BUDGET_SHARE = 0.45  # share of the budget of a server in slow start that all routers together use in a window
-MIN_SLOW_START_RATE = 0.03  # transfers a second to a server in slow start where nothing tells its size
+MIN_SLOW_START_RATE = 0.03  # transfers a second that a server in slow start may take where nothing tells its size
 
 # Admission.
 MIN_ADMITTED_UTILIZATION = 1.25  # utilization up to which any txn is admitted
 MAX_WORTH_UTILIZATION = 2.1  # the most that the worth of a txn adds to MIN_ADMITTED_UTILIZATION
-LARGE_TXN_DEVIATIONS = 2.0  # mean deviations above the mean: about where the largest tenth of txns begins
+LARGE_TXN_DEVIATIONS = 2.0  # the largest tenth of txns begins at about this many mean deviations above the mean
 MIN_ANSWERED_RATIO = 0.8  # least answered share of the largest txns of a rule, as a multiple of the share of all its txns
 SIZE_BAND_STEP = 0.1  # weight of one sample in the answered share of the largest txns
 
@@ -70,23 +70,23 @@
 CAPACITY_STEP = 0.1  # weight of one hit in the learned capacity
 MAX_CONNECTIONS_WHILE_BREAKING = 4  # to one server, for a while after a connection broke
 LATE_HOP_FILL_PROBABILITY = 0.8  # a hop that takes longer than a hit is probably being filled
-USUAL_FILL_WAIT = 100 * MS  # of a fill for its source
-RECOUNT_INTERVAL = MS // 4  # between two counts of fills, for each hop in flight
+USUAL_FILL_WAIT = 100 * MS  # time that a fill usually waits for its source
+RECOUNT_INTERVAL = MS // 4  # time between two counts of a server's fills, for each of its hops in flight
 MAX_LINK_UTILIZATION_RATIO = 0.7  # highest link utilization for a fill, as a multiple of the highest cache utilization for its txn
-INITIAL_LINK_SHARE = 0.5  # assumed link capacity, as a share of the capacity of the zone's caches
+INITIAL_LINK_SHARE = 0.5  # link capacity as a share of the capacity of the zone's servers, where the settings do not state it
 UTILIZATION_DECAY = 4 * SECOND  # time constant with which observed utilization is forgotten
 LINK_REPORT_LIFETIME = 1500 * MS  # how long a load report of the link is used
-BUSY_UTILIZATION = 0.85  # reported utilization above which the report says little: it can't exceed 1
+BUSY_UTILIZATION = 0.85  # a cache that reports at least this busy share is judged by its hops in flight or by the pace of its hits
 MEAN_UTILIZATION_STEP = 0.15  # weight of one cache's utilization in the mean of all caches
-UTILIZATION_STEP = 0.4  # weight of one hit's pace in the utilization of its cache
-FILL_PACE = 2.5  # pace of a fill, as a multiple of a client's
-PROBE_INTERVAL = 400 * MS
+UTILIZATION_STEP = 0.4  # weight of one observation, such as the pace of a hit, in the utilization of its cache
+FILL_PACE = 2.5  # a fill arrives this many times as fast as a client takes an answer
+PROBE_INTERVAL = 400 * MS  # time between two probes of caches
 
 # Ejection of failing servers.
 ERROR_STEP = 0.1  # weight of one result in the error rate
 CONCLUSIVE_ERROR_STEP = 0.6  # weight of a result that proves that the server is down
 EJECT_ERROR_RATE = 0.5  # error rate above which a server is ejected
-EJECT_PEER_MULTIPLE = 2.0  # a server is ejected only with this multiple of its peers' median error rate
+EJECT_PEER_MULTIPLE = 2.0  # a server is ejected only if its error rate exceeds this multiple of its peers' median
 FIRST_EJECTION = 1 * SECOND  # doubles with each further ejection
 MAX_EJECTION = 8 * SECOND
 
@@ -97,8 +97,8 @@
 ONLY_HOP_MULTIPLE = 2.0  # a server with a single hop in flight may stay silent for this multiple of the usual limit
 UNSIZED_DEVIATIONS = 6.0  # mean deviations of the transfer time that are allowed where sizes are unknown
 LATE_FILL_STEP = 0.2  # weight of a late fill in the mean wait for a first byte
-MIN_LATE_FILLS = 2  # a source is ejected for silence only with so many late fills
-MIN_MISSED_FILLS = 5  # and only after so many fills from its peers came meanwhile
+MIN_LATE_FILLS = 2  # a source is ejected for silence only if at least this many of its fills are late
+MIN_MISSED_FILLS = 5  # and only if at least this many fills came from its peers meanwhile
 
 # The origin.
 ORIGIN_ERROR_STEP = 0.2  # weight of one result in the origin's error rate
@@ -107,16 +107,16 @@
 SLOW_ORIGIN_MULTIPLE = 3.0  # a wait for the origin above this multiple of the usual wait counts as slow
 
 # Retries.
-RETRIES_PER_TXN = 0.3  # that each arriving txn adds to the saved retries
-MAX_SAVED_RETRIES = 20.0  # that a router may save up
-MAX_ERRORS_PER_TXN = 3  # after so many errors a txn is given up
+RETRIES_PER_TXN = 0.3  # each arriving txn adds this to the saved retries
+MAX_SAVED_RETRIES = 20.0  # a router saves up no more than this
+MAX_ERRORS_PER_TXN = 3  # a txn is given up after this many errors
 
 # Learned averages.
 INITIAL_TRANSFER_TIME = 400 * MS
 INITIAL_FIRST_BYTE_WAIT = 80 * MS
 LEARNING_STEP = 0.05  # weight of one sample in a learned average
 
-MAX_PURGES = 50_000  # that are stored one by one
+MAX_PURGES = 50_000  # further purges are not stored one by one
 
 
 @record(eq=False)
@@ -126,19 +126,19 @@
     name: str
     name_hash: object  # keyed hash of the name; copies of it hash object keys
     state: str = "gone"
-    started: int = 0  # start of the server's process, 0 where it is unknown
+    started: int = 0  # when its process started; 0: it ran before the list was first read, and is warmed up
     zone: int = 0
-    rating: float = 1.0  # relative size, or the transfers that it takes at full pace where ratings are nominal
-    kind: int = 0  # number of its kind: cache, parent or origin
-    cell: int = 0  # number of its cell, a possible scope of deduplication
+    rating: float = 1.0  # how many transfers it takes at full pace; used only where the settings call ratings nominal
+    kind: int = 0  # number of its kind in the settings; the numbers of parents and of the origin are known, all others are caches
+    cell: int = 0  # number of its cell: where a rule says so, only servers of one cell recognize each other's repeats
     in_flight: dict = default_factory(dict)  # hops to this server, oldest first
     sourced_hops: dict = default_factory(dict)  # hops to other servers that name this one as their source
     fill_estimate: tuple = (0.0, 0)  # how many hops in flight are being filled, and when that was last recounted
     capacity: float = INITIAL_CAPACITY  # how many of this router's transfers run at full pace
     transfer_rate: tuple = (0.0, 0)  # transfer time a second that was recently served to this router, as of a time
     connection_broke_at: int = 0  # when a connection to the server last broke while it carried hops
-    last_answer_at: int = 0  # of any kind, or the last fill that came from it
-    missed_fills: int = 0  # fills that came from its peers since; each fill of its own halves the count
+    last_answer_at: int = 0  # when it last answered anything, or when a fill last came from it
+    missed_fills: int = 0  # fills that came from its peers while hops waited for its own; each fill of its own halves the count
     error_rate: float = 0.0
     ejected_until: int = 0  # 0: in service; in the past: one hop at a time until a result clears the server
     ejections: int = 0
@@ -155,11 +155,11 @@
     number: int
     server: Server
     source: Server | None
-    sent: int  # time
+    sent: int  # when it was sent
     transfer_time: int
     others_in_flight: int  # hops in flight at the server when this one was sent
     fill_probability: float
-    source_charge: float  # what was taken from the slow start budget of the source
+    source_charge: float  # transfer time taken from the slow start budget of the source
     fetch: bool  # whether the source may ask the origin
     in_flight: bool = True
     may_have_run: bool = True
@@ -178,8 +178,8 @@
     rule: RemapRule
     rule_index: int
     obj: str
-    part: int  # number of a part of the object
-    group: int  # purge group
+    part: int  # number of the part of the object that the client wants
+    group: int  # number of the purge group of the object
     transfer_time: int
     size_known: bool
     deadline: int
@@ -189,7 +189,7 @@
     ended: bool = False
     unfillable: bool = False  # it needs a fill that is not allowed
     stale_copy_ok: bool = False  # a copy within its grace time will do
-    failed_servers: set = default_factory(set)  # names
+    failed_servers: set = default_factory(set)  # names of caches and sources that failed this txn
 
 
 BY_NAME = attrgetter("name")
@@ -292,7 +292,8 @@
     ):
         """`cache_share` and `parent_share`: this router's share of the traffic to a cache and to a parent. The `_slow_start` tuples: the
         share of its capacity that a server starts with, how long it ramps up (ns), and the overload multiple that it tolerates.
-        `siblings`: whether a cache may fill from another cache."""
+        `link_capacity`: fills at full pace that the link into the zone takes, 0 where it is unknown. `siblings`: whether a cache may fill
+        from another cache, the home of the object."""
         self.zone, self.parent_kind, self.origin_kind = zone, parent_kind, origin_kind
         self.rating_trust = 1.0 if rating_quality == "nominal" else 0.0
         self.slow_start = {False: (cache_share, *cache_slow_start), True: (parent_share, *parent_slow_start)}
@@ -311,6 +312,7 @@
         self.caches, self.parents, self.origin, self.listed_names = [], [], None, None  # of the latest server list
 
     def list_begins(self, complete: bool) -> None:
+        """A server list begins. A complete list removes the servers that it does not name."""
         self.listed_names = set() if complete else None
 
     def server_listed(self, name, state, started, zone, rating, kind, cell) -> None:
@@ -331,7 +333,7 @@
             for server in self.servers.values():
                 if server.name not in self.listed_names:
                     server.state = "gone"  # a server missing from a complete list has been removed
-        if not self.own_link_capacity:  # the settings do not say: start from a guess
+        if not self.own_link_capacity:  # the settings do not state it: assume a value
             self.own_link_capacity = INITIAL_LINK_SHARE * sum(
                 server.capacity for server in self.servers.values() if server.zone == self.zone
             )
@@ -374,11 +376,12 @@
         return ranking
 
     def rank_caches(self, obj, part) -> list[Server]:
-        """The home cache of an object and the caches after it. Each part has its own home where a router sees too little of an object's
-        traffic to know whether its home is overloaded."""
+        """The home cache of a part of an object, and the caches after it. All parts of an object share one home. Only where a router sees
+        too little of an object's traffic, each part has its own home."""
         return self.rank_servers(self.caches, obj if self.cache_share >= MIN_SHARE_FOR_OBJECT_HOMES else f"{obj}#{part}")
 
     def count_transfer(self, server: Server, transfer_time: float, now: int) -> None:
+        """Add a transfer that the server has completed to its transfer rate."""
         server.transfer_rate = (self.transfer_rate(server, now) + transfer_time / (5 * SECOND), now)
 
     def transfer_rate(self, server: Server, now: int) -> float:
@@ -390,8 +393,8 @@
 
     def budget_deadline(self, server: Server, now: int) -> int:
         """When a hop to a server in slow start has to be sent at the latest: in the budget window that it is charged to, or in the first
-        half of the next window if its connection comes up late. A hop that misses the deadline is charged again, which is frequent
-        where connecting is slow."""
+        half of the next window if its connection comes up late. Without that half window many hops would miss the deadline and be
+        charged again where connecting is slow."""
         windows = max(0, now - server.started) // self.budget_window + 1.5
         return server.started + int(windows * self.budget_window)
 
@@ -405,7 +408,7 @@
         window = max(0, now - server.started) // self.budget_window
         if server.token_window != window:
             own_rate = server.rating * self.rating_trust * share
-            if not own_rate:  # sizes are unknown: take the mean of what warmed-up peers, or caches, served to this router
+            if not own_rate:  # sizes are unknown: take the mean of what the warmed-up peers recently served to this router
                 rates = [self.transfer_rate(peer, now) for peer in self.peers(server) if not self.in_slow_start(peer, now)]
                 own_rate = max(MIN_SLOW_START_RATE, sum(rates) / len(rates) if rates else 0.0)
             allowed_rate = (
@@ -422,9 +425,11 @@
     # Health.
 
     def peers(self, server: Server) -> list[Server]:
+        """The other parents of a parent; the other caches of a cache."""
         return [peer for peer in (self.parents if server in self.parents else self.caches) if peer is not server]
 
     def is_healthy(self, server: Server, now: int) -> bool:
+        """Whether the server is not ejected, or its ejection is over and no hop is testing it."""
         return not server.ejected_until or (now >= server.ejected_until and not server.in_flight and not server.sourced_hops)
 
     def eject(self, server: Server, now: int, why: str) -> None:
@@ -454,11 +459,11 @@
 
     def is_origin_slow(self, wait: int) -> bool:
         """Whether a fill waited for the origin far longer than usual; other waits update the usual one. Guards the origin against the
-        overload that all routers cause together: a slow origin is asked by few."""
-        usual = self.usual_origin_wait or wait
-        if wait <= SLOW_ORIGIN_MULTIPLE * usual:
-            self.usual_origin_wait = usual + (wait - usual) * LEARNING_STEP
-        return wait > SLOW_ORIGIN_MULTIPLE * usual
+        overload that all routers cause together: like a failing origin, a slow one may be asked by only few txns."""
+        usual_wait = self.usual_origin_wait or wait
+        if wait <= SLOW_ORIGIN_MULTIPLE * usual_wait:
+            self.usual_origin_wait = usual_wait + (wait - usual_wait) * LEARNING_STEP
+        return wait > SLOW_ORIGIN_MULTIPLE * usual_wait
 
     def estimate_fills(self, server: Server, now: int) -> float:
         """How many hops in flight are being filled. The more hops are in flight, the less often they are recounted."""
@@ -470,10 +475,12 @@
         return server.fill_estimate[0]
 
     def add_fills(self, server: Server, fills: float) -> None:
+        """Add fills to the estimates of a server and of the zone; a negative number subtracts them."""
         server.fill_estimate = (server.fill_estimate[0] + fills, server.fill_estimate[1])
         self.zone_fills += fills
 
     def expected_hit_time(self, hop: Hop, now: int) -> float:
+        """How long the hop takes if it hits, given the load of its server."""
         return hop.transfer_time * max(1.0, hop.others_in_flight / max(1.0, hop.server.capacity), self.recent_utilization(hop.server, now))
 
     def total_utilization(self, own_transfers: float, capacity: float) -> float:
@@ -491,41 +498,43 @@
         return mean + (server.utilization[0] - mean) * math.exp((server.utilization[1] - now) / UTILIZATION_DECAY)
 
     def recent_mean_utilization(self, now: int) -> float:
+        """Mean utilization of the zone's caches, decayed to now."""
         return self.mean_utilization * math.exp((self.mean_utilization_at - now) / UTILIZATION_DECAY)
 
     def record_utilization(self, server: Server, utilization: float, now: int) -> None:
+        """Store the utilization of a cache, and update the mean of the zone's caches with it."""
         self.mean_utilization = (
             self.recent_mean_utilization(now) + (utilization - self.recent_mean_utilization(now)) * MEAN_UTILIZATION_STEP
         )
         server.utilization, self.mean_utilization_at = (utilization, now), now
 
     def load_reported(self, server: Server, load: dict | None, now: int) -> None:
-        """A load report of a cache: how busy it is, and how many fills use the link into its zone."""
+        """A load report of a cache: how busy it is, and how full the link into its zone is."""
         if load is None or server not in self.caches:
             return
         if "fetching" in load:
             self.link_report, self.link_report_at = load["fetching"] / FILL_PACE, now
         utilization, previous = load.get("util", 0.0), self.recent_utilization(server, now)
-        if utilization >= BUSY_UTILIZATION:  # the report can't exceed 1: use the hops in flight, or what the pace of hits showed
+        if utilization >= BUSY_UTILIZATION:  # from here on its hops in flight tell the load, or the pace of hits
             utilization = load["inflight"] / server.rating if self.rating_trust and "inflight" in load else max(1.0, previous)
         self.record_utilization(server, previous + (utilization - previous) * UTILIZATION_STEP, now)
 
     def link_utilization(self, now: int, further_fills: float) -> float:
         """Utilization of the link into the zone, with `further_fills` on top."""
-        reported = self.link_report if self.link_report_at and now - self.link_report_at < LINK_REPORT_LIFETIME else 0.0
+        reported_utilization = self.link_report if self.link_report_at and now - self.link_report_at < LINK_REPORT_LIFETIME else 0.0
         if now - self.zone_fills_at >= RECOUNT_INTERVAL:  # between recounts, hops that begin and end update the number
             self.zone_fills, self.zone_fills_at = sum([self.estimate_fills(server, now) for server in self.caches if server.in_flight]), now
-        return max(reported, self.total_utilization(self.zone_fills + further_fills, self.own_link_capacity))
+        return max(reported_utilization, self.total_utilization(self.zone_fills + further_fills, self.own_link_capacity))
 
     def choose_cache(self, ranking, obj, part, now, charge, max_utilization, avoided, preferred, allowed) -> Server | None:
         """The home cache, which is the first of `ranking`, or a later cache where health, budgets or utilization rule the home out. None
-        where no cache may be used or all exceed `max_utilization`. `preferred`: the cache that the txn's leader went to."""
+        where no cache may be used or all exceed `max_utilization`. `avoided`: names of servers to use only if there is no other.
+        `preferred`: the cache that the txn's leader went to. `allowed`: says whether the txn may go to a server; None: to any."""
         if ranking and preferred is None and allowed is None and not avoided:
             home = ranking[0]  # fast path with the same outcome as below: the home is healthy and has capacity
             if home.state == "up" and not home.ejected_until and not self.in_slow_start(home, now):
-                own_utilization = self.total_utilization(
-                    len(home.in_flight) + 1, home.capacity
-                )  # an upper limit: waiting fills count in full
+                # An upper limit: fills that wait for their source would count for less.
+                own_utilization = self.total_utilization(len(home.in_flight) + 1, home.capacity)
                 if max(own_utilization, STALE_UTILIZATION_FACTOR * self.recent_utilization(home, now)) <= min(
                     max_utilization, SPILL_UTILIZATION_FROM_HOME
                 ):
@@ -545,11 +554,10 @@
             return None
 
         def utilization(server: Server) -> float:
-            idle = self.estimate_fills(server, now) * max(
-                1 - 1 / max(1.0, link_load), self.fill_wait_share
-            )  # fills that wait for their source
+            # The estimated number of fills that wait for their source: they transfer nothing now.
+            waiting_fills = self.estimate_fills(server, now) * max(1 - 1 / max(1.0, link_load), self.fill_wait_share)
             return max(
-                self.total_utilization(len(server.in_flight) + 1 - idle, server.capacity),
+                self.total_utilization(len(server.in_flight) + 1 - waiting_fills, server.capacity),
                 STALE_UTILIZATION_FACTOR * self.recent_utilization(server, now),
             )
 
@@ -564,7 +572,7 @@
             else SPILL_UTILIZATION
         ):
             return candidates[0] if home_utilization <= max(max_utilization, 1.0) else None
-        # The home of a hot object is overloaded: its parts move to other caches, in the same way at all routers.
+        # The home of a hot object is overloaded: its parts spread over the other caches, in the same way at all routers.
         part_ranking = [server for server in self.rank_servers(self.caches, f"{obj}#{part}#") if server in candidates]
         best_cache = next((server for server in part_ranking if utilization(server) <= SPILL_MAX_RATIO * home_utilization), candidates[0])
         return best_cache if utilization(best_cache) <= max(max_utilization, 1.0) else None
@@ -625,7 +633,7 @@
         self.rule_deviations = [INITIAL_TRANSFER_TIME / 2] * len(rules)  # mean deviation of transfer times where sizes are unknown
         self.mean_transfer_time, self.mean_importance = float(INITIAL_TRANSFER_TIME), 1.0
         self.first_byte_wait, self.first_byte_deviation = float(INITIAL_FIRST_BYTE_WAIT), INITIAL_FIRST_BYTE_WAIT / 2
-        self.txns, self.alarms = {}, {}  # by ident; by label
+        self.txns, self.alarms = {}, {}  # txns by ident; (function, arguments) of set alarms by label
         self.last_label, self.saved_retries, self.last_probe_at, self.notes_seen = 0, MAX_SAVED_RETRIES, 0, False
         self.give_up_counts: dict[GiveUp, int] = {}
 
@@ -726,7 +734,7 @@
             ):
                 source, fill_probability = home, 0.0  # fills from the home cache do not use the link into the zone
             elif fill_probability and pool.link_utilization(now, fill_probability) > MAX_LINK_UTILIZATION_RATIO * max_utilization:
-                # Guards the link into the zone against more fills than it takes: the hop is served only if it hits.
+                # Guards the link into the zone against more fills than it takes: the txn is given up if its hop would start one.
                 source, fill_probability, txn.stale_copy_ok = server, 0.0, True
             else:
                 source = pool.choose_source(txn.obj, now, charge, txn.failed_servers)
@@ -764,7 +772,7 @@
         if source is not None:
             source.tokens -= source_charge
             source.sourced_hops[txn.ident, hop.number] = hop
-        # A stale copy earns less, so it is allowed only after a failed fill or while the link into the zone is full.
+        # A stale copy earns less than a fresh one, so it is allowed only after a failed fill or while the link into the zone is full.
         usable_time = rule.fresh_time + rule.grace_time if txn.stale_copy_ok and rule.fresh_time and rule.grace_time else rule.fresh_time
         max_age = self.purges.max_copy_age(now, txn.obj, txn.group, usable_time) or (usable_time if usable_time > rule.fresh_time else 0)
         join = self.join_fills and not rule.uncacheable and not (hop.number and any(earlier.fill_may_hang for earlier in txn.hops))
@@ -807,7 +815,7 @@
         self.finish(txn)
 
     def finish(self, txn: Txn, completed: bool = False) -> None:
-        """The txn has its final answer. If it led a flight, its waiters are sent, or the first of them leads after a failure."""
+        """The txn has its final answer. If it led a flight, its waiters are sent; after a failure only the first is sent, as new leader."""
         txn.ended = True
         self.remove_waiter(txn)
         if txn.hops and txn.hops[-1].in_flight:
@@ -915,9 +923,8 @@
                 )
                 self.pool.learn_capacity(server, hop.transfer_time, duration, in_flight)
             elif not txn.size_known and (note == HIT or self.without_notes and self.learns_without_notes()):
-                full_pace_time = max(0, duration - 20 * MS) * min(
-                    1.0, server.capacity / in_flight
-                )  # without the slowdown by other transfers
+                # The time without the slowdown by other transfers.
+                full_pace_time = max(0, duration - 20 * MS) * min(1.0, server.capacity / in_flight)
                 deviation = full_pace_time - self.rule_transfer_times[txn.rule_index]
                 self.rule_transfer_times[txn.rule_index] += deviation * LEARNING_STEP
                 self.rule_deviations[txn.rule_index] += (abs(deviation) - self.rule_deviations[txn.rule_index]) * LEARNING_STEP
@@ -955,7 +962,7 @@
     def silence_limit(self, hop: Hop, now: int, in_flight: int) -> int:
         """How long a server or source may stay silent while this hop is in flight; longer where it has more work. A router that sees
         little traffic allows more time the fewer hops are in flight, because a late hop may wait for its source."""
-        txn = self.txns.get(hop.txn_ident)  # of unknown size: large txns of its rule need some deviations more
+        txn = self.txns.get(hop.txn_ident)  # where its size is unknown, it may be a large one of its rule and take far longer than the mean
         size_margin = UNSIZED_DEVIATIONS * self.rule_deviations[txn.rule_index] if txn is not None and not txn.size_known else 0.0
         multiple = (
             max(SILENCE_MULTIPLE, FEW_HOPS_SILENCE_MULTIPLE / max(in_flight, 2))
@@ -1021,6 +1028,7 @@
         self.purges.add(self.host.now(), obj, group, age)
 
     def probe_ended(self, server: str, result: str, duration: int, load: dict | None) -> None:
+        """A probe of the named server ended, with its load report or None."""
         self.pool.load_reported(self.pool.servers.get(server), load, self.host.now())
 
     def call_at(self, when: int, function, *arguments) -> int:
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -38,7 +38,7 @@
     SERVER_RESTARTED = "server_restarted"  # since the hop was decided
     SOURCE_NOT_UP = "source_not_up"
     SOURCE_RESTARTED = "source_restarted"
-    PLACEMENT_IN_DOUBT = "placement_in_doubt"  # the fleet may have released the server for maintenance
+    PLACEMENT_IN_DOUBT = "placement_in_doubt"  # the fleet may have released the server or the source for maintenance
     PURGED_SINCE = "purged_since"  # the hop would accept a copy older than a purge
     WAITED_TOO_LONG = "waited_too_long"  # for its connection
     TOO_LATE_TO_GO = "too_late_to_go"  # past the repeat window, or past the slow start budget window that the hop was charged to
@@ -48,7 +48,7 @@
     NOT_IDEMPOTENT = "not_idempotent"
     REPEAT_WINDOW_OVER = "repeat_window_over"
     OTHER_REPEAT_GROUP = "other_repeat_group"
-    OPEN_REQUESTS = "open_requests"  # as many txns are open as the settings allow
+    OPEN_REQUESTS = "open_requests"  # the settings allow no more open txns
     EVENTS_BEHIND = "events_behind"
     BODY_MEMORY = "body_memory"
 
@@ -77,7 +77,7 @@
     FRAME_MEMORY = "frame memory"
     DESCRIPTORS = "descriptors"
     NO_THREAD = "no thread"
-    NO_OPTIONS = "no options"  # the client reset the connection before its socket options were set
+    NO_OPTIONS = "no options"  # no socket options can be set, because the client reset the connection before it was accepted
 
 
 # Hops.
@@ -85,7 +85,8 @@
 
 @record(frozen=True)
 class Endpoint:
-    """A server as discovery lists it: its address, its state, and when its process started (Unix ns, 0 where that is unknown)."""
+    """A server as discovery lists it. `started` tells its processes apart: when the process started (Unix ns), or 0 where it has run since
+    before the list was first read."""
 
     address: tuple[str, int]
     state: str
@@ -93,7 +94,7 @@
 
 
 class HopRules:
-    """What decides whether a hop may still be written: states of endpoints, purges, and the time limit for connecting."""
+    """What a hop depends on until it is written: states of endpoints, purges, and the time limit for connecting."""
 
     def __init__(self, connect_limit: int):
         self.connect_limit = connect_limit
@@ -120,7 +121,8 @@
             del self.purged[oldest]
 
     def refusal(self, hop, now: int) -> Refusal | None:
-        """Why a hop that was decided a while ago may not be written now. Its `want` is None for a probe."""
+        """Why a hop that was decided a while ago may not be written now. `hop` is a Hop of net/server_connection.py: it names its server
+        and its source, has their starts as they were known at the decision, and has `want` None for a probe."""
         endpoint = self.endpoints.get(hop.server)
         if endpoint is None or endpoint.state != UP:
             return Refusal.SERVER_NOT_UP
@@ -258,7 +260,7 @@
         self.freed = False  # descriptors were freed since the last accept that succeeded
 
     def succeeded(self) -> None:
-        """An accept succeeded. If descriptors had to be freed for it, resources count as exhausted still."""
+        """An accept succeeded. If descriptors had to be freed for it, resources still count as exhausted."""
         if not self.freed:
             self.failing_since = 0.0
         self.freed = False
@@ -290,14 +292,15 @@
 
 
 class StartupGate:
-    """Closed until discovery has caught up after a start, for `wait` ns at the longest. A router that has just started has the list of
-    its file, which may be older than what discovery has, and makes no decisions with it before."""
+    """Closed until discovery has caught up after a start, for `wait` ns at the longest. A router that has just started has only the list
+    in its file, which may be older than discovery's list, so it decides nothing until the gate opens."""
 
     def __init__(self, now: int, wait: int, max_waiting: int):
         self.shut_at, self.opens_at, self.max_waiting = now, now + wait, max_waiting
 
     def wait_until(self, now: int, deadline: int, waiting: int) -> int:
-        """How long a txn may wait for the gate to open before it is given up. A time that is not after `now` means at once."""
+        """Until when a txn may wait for the gate to open; then it is given up. A time that is not after `now`: it is given up at once.
+        `waiting`: number of txns that wait already."""
         if waiting >= self.max_waiting:
             return now
         return min(now + int((deadline - now) * GATE_WAIT_SHARE), self.opens_at + max(0, deadline - self.opens_at) // 2)
--- a/fieldspur/site.py
+++ b/fieldspur/site.py
@@ -13,12 +13,13 @@
 from fieldspur.host import Host, RemapRule
 from fieldspur.record import record
 
-# Nanoseconds, which the program counts, in the units of the configuration.
+# The program counts nanoseconds; the configuration uses these units.
 US = 1000
 MS = 1_000_000
 RULE_KINDS = {"idempotent": "repeatable", "deduplicated": "keyed", "at_most_once": "unrepeatable"}
-LOAD_NAMES = {"active": "inflight", "cpu": "util", "x0": "hits", "x1": "fetching"}  # by column of a load report
-REQUIRED = object()  # the default of a key that has none
+# Names that the decision module uses, by column of a load report.
+LOAD_NAMES = {"active": "inflight", "cpu": "util", "x0": "hits", "x1": "fetching"}
+REQUIRED = object()  # stands in place of a default: the key has to be there
 
 
 class ConfigError(Exception):
@@ -107,8 +108,8 @@
     pool_options: dict  # arguments of ServerPool
     router_options: dict  # arguments of Router, besides its parts
     purge_lifetime: int  # after this time no server has a copy older than a purge
-    connect_timeout: int
-    idle_timeout: int
+    connect_timeout: int  # for a connection to a server
+    idle_timeout: int  # how long a connection may be idle, or sent data unacknowledged
     max_hops_per_connection: int  # in flight at a time
     max_open_txns: int
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("share, hops_stay", [(0.5, False), (0.02, True)])
 def test_a_slow_source_does_not_make_caches_count_as_silent_for_a_router_with_little_traffic(share, hops_stay):
     """With 200 routers, each router had one hop in flight at a cache. While the origin took 1.5 s instead of 0.15 s, the routers ejected
-    every cache as silent, 3,300 times in all, and sent txns again whose fills were in progress: 0.23 was completed instead of 0.72."""
+    every cache as silent, 3,300 times in all, and sent txns again whose fills were in progress: the result was 0.23 instead of 0.72."""
     referee = Referee(rules=[rule("keyed", never_kept=True)], caches=5, share=share)
     for ident in range(5):
         referee.arrive(ident, obj=f"o{ident}", kb=100.0)
