--- a/fieldspur/lab/soak/node.py
+++ b/fieldspur/lab/soak/node.py
@@ -1,4 +1,4 @@
-"""A router process of the soak: under the fault shim, with a link of its own to discovery, told to end and killed on time."""
+"""A router process of the soak. It runs under the fault shim and reads discovery over a link of its own, which faults can hit."""
 
 from __future__ import annotations
 
@@ -11,22 +11,25 @@
 from fieldspur.lab.emulate.servers import DiscoveryServer
 from fieldspur.lab.runs.scenario_run import RouterProcess
 
-HOST = "127.%d.%d.4" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # soaks beside this one have theirs
-IDLE_CLOSE_US = 5_000_000  # of connections to servers, so that they end within a run
-BEFORE, AFTER = -1.0, 1e9  # the load; in place of a sample's second
+# Of its own for each laboratory process, so that soaks can run beside one another.
+HOST = "127.%d.%d.4" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)
+IDLE_TIMEOUT_US = 5_000_000  # of connections to servers; short, so that connections end within a run
+# Given in place of the second of a sample: before the load begins, and after it has ended.
+BEFORE_LOAD = -1.0
+AFTER_LOAD = 1e9
 
 
 class SoakRouter(RouterProcess):
-    """A router under the shim, with a link of its own to discovery."""
+    """A router under the fault shim, with a link of its own to each discovery service."""
 
-    def __init__(self, *about):
-        super().__init__(*about)
+    def __init__(self, *args):
+        super().__init__(*args)
         self.address = (HOST, free_port(HOST))
         self.links: dict[DiscoveryServer, Relay] = {}
-        self.settings: dict = {}  # a trouble's time until a reload, in ns
-        self.ended_at = self.started_at = 0
-        self.ending = False  # was told to end, and has not started again
-        self.level: dict = {}  # files and threads before the load
+        self.settings: dict = {}
+        self.sigterm_at = self.started_at = 0
+        self.ending = False  # has received SIGTERM and has not started again
+        self.baseline: dict = {}  # its sample of resources before the load
 
     def discovery_port(self, discovery: DiscoveryServer) -> int:
         if discovery not in self.links:
@@ -35,26 +38,26 @@
             )
         return self.links[discovery].port
 
-    def adjust(self, conf: dict) -> None:
-        conf["listen"] = "%s:%d" % self.address
-        conf["settings"]["allowed"]["idleCloseUs"] = IDLE_CLOSE_US
-        for row in conf["settings"]["classes"]:
-            row["hardLimitUs"] = self.deadline_us(row["hardLimitUs"])
+    def adjust(self, config: dict) -> None:
+        config["listen"] = "%s:%d" % self.address
+        config["settings"]["allowed"]["idleCloseUs"] = IDLE_TIMEOUT_US
+        for rule in config["settings"]["classes"]:
+            rule["hardLimitUs"] = self.deadline_us(rule["hardLimitUs"])
 
-    def deadline_us(self, allowed: int) -> int:
-        """What a class that allows so much has in this soak."""
-        most = self.world.plan.load.deadline_s
-        return min(allowed, int(most * 1e6)) if most else allowed
+    def deadline_us(self, configured_us: int) -> int:
+        """The time limit in this soak of a class whose settings allow `configured_us`."""
+        max_deadline_s = self.world.plan.load.deadline_s
+        return min(configured_us, int(max_deadline_s * 1e6)) if max_deadline_s else configured_us
 
     def start(self) -> None:
         self.started_at = time.monotonic()
         super().start()
 
     def sample(self, second: float) -> None:
-        """Only where the soak asks for it: it reads much of /proc, and all else waits meanwhile."""
-        if second in (BEFORE, AFTER):
+        """Samples only before and after the load: reading /proc takes long and blocks the event loop meanwhile."""
+        if second in (BEFORE_LOAD, AFTER_LOAD):
             super().sample(second)
 
-    def sleeping(self) -> bool:
-        """Whether it is stopped by a fault."""
+    def is_stopped(self) -> bool:
+        """Whether a fault has stopped the process."""
         return self.world.checker.asleep.get(self.number, 0) > self.world.loop.now()
