--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What several files of tests start, and the list of tests that are known to fail."""
+"""Fixtures that start services, and the handling of tests that are known to fail."""
 
 import known_red
 import pytest
@@ -9,48 +9,50 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    """Tests of KNOWN-RED.txt have to fail; a line that names none of a whole run is an error."""
-    found = {item.nodeid: item for item in items}
+    """Marks the tests of KNOWN-RED.txt as strict expected failures. In a run of all tests, a line that names no test is an error."""
+    items_by_id = {item.nodeid: item for item in items}
     for red in KNOWN_RED:
-        if red.test in found:
-            found[red.test].add_marker(pytest.mark.xfail(strict=True, reason=f"KNOWN-RED: {red.cause} (issue {red.issue})"))
+        if red.test in items_by_id:
+            items_by_id[red.test].add_marker(pytest.mark.xfail(strict=True, reason=f"KNOWN-RED: {red.cause} (issue {red.issue})"))
         elif not config.args or config.args == config.getini("testpaths"):
             raise pytest.UsageError(f"KNOWN-RED.txt: no test {red.test}")
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Known failures are printed in every run."""
+    """Prints the known failures in every run."""
     for red in KNOWN_RED:
         terminalreporter.write_line(f"known red: {red.test}: {red.cause} (issue {red.issue})")
 
 
 @pytest.fixture
 def run(tmp_path):
-    made = []
+    """Starts services, and checks at the end that none of them logged a fault."""
+    started = []
 
     def start(*caches, contains=False, **conf):
-        """`contains`: errors are planted in it."""
-        made.append((Service(tmp_path, caches, **conf), contains))
-        return made[-1][0]
+        """`contains`: the test injects errors, so contained errors are allowed in the log."""
+        started.append((Service(tmp_path, caches, **conf), contains))
+        return started[-1][0]
 
     yield start
-    for service, contains in made:
+    for service, contains in started:
         service.process.kill()
         service.process.wait()
-        wrong = ("crashed", "broken") if contains else ("crashed", "broken", "contained")
-        assert not any(f"event={word}" in service.lines() for word in wrong)
+        fault_events = ("crashed", "broken") if contains else ("crashed", "broken", "contained")
+        assert not any(f"event={event}" in service.lines() for event in fault_events)
 
 
 @pytest.fixture
 def routers(tmp_path):
-    made = []
+    """Starts fleets of router processes, and checks at the end that none of them logged a fault."""
+    started = []
 
-    def make(*about, **more):
-        made.append(RouterProcesses(tmp_path, *about, **more))
-        return made[-1]
+    def start(*args, **options):
+        started.append(RouterProcesses(tmp_path, *args, **options))
+        return started[-1]
 
-    yield make
-    for one in made:
-        one.end()
-        for service in one.services:
-            assert not any(f"event={word}" in service.lines() for word in ("crashed", "broken", "contained"))
+    yield start
+    for processes in started:
+        processes.end()
+        for service in processes.services:
+            assert not any(f"event={event}" in service.lines() for event in ("crashed", "broken", "contained"))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A plain referee: a host that records what a Router does and holds it to the rules, slow and clear; and stand-ins."""
+"""A host that checks every call of a Router against the rules, and stand-ins for clients, caches and the discovery service."""
 
 import io
 import json
@@ -22,16 +22,20 @@
 from fieldspur.net.server_connection import ServerConnection
 from fieldspur.site import deployment
 
-COLD, RAMP, MULTIPLE, SPAN = 0.2, 10 * SECOND, 2.0, SECOND
-GONE_EVERYWHERE = 6 * SECOND
+COLD_SHARE = 0.2  # share of its capacity that a server has at its start
+SLOW_START = 10 * SECOND  # time from its start until a server has its full capacity
+BUDGET_MULTIPLE = 2.0  # a server in slow start may get this multiple of its capacity
+BUDGET_WINDOW = SECOND
+MAX_PURGE_TIME = 6 * SECOND  # after this time a purge has reached all caches
 
 
 def rule(kind="repeatable", group="all", never_kept=False, fresh=0, grace=0):
+    """A remap rule with usual values."""
     return RemapRule(kind, group, 3 * SECOND, 1.0, 0.2, 500 * MS, 2.0, 4 * SECOND, never_kept, fresh, grace, 0.5)
 
 
 class Referee:
-    """The host of one Router. Every call is checked against the rules as they are worded."""
+    """The host of one Router, with a simulated clock. It asserts that every call of the Router follows the rules."""
 
     def __init__(
         self, rules=None, caches=3, second_copies=True, come_back=SECOND, sized="nominal", kb_per_s=1000.0, rating=10.0, share=0.5
@@ -39,16 +43,16 @@
         self.clock, self.rules, self.second_copies = 1000 * SECOND, rules or [rule()], second_copies
         self.txns, self.alarms, self.lines, self.rating = {}, [], [], rating
         self.servers, self.purges = {}, []
-        fleet = ServerPool(
+        pool = ServerPool(
             zone=1,
             parent_kind=1,
             origin_kind=2,
             rating_quality=sized,
             cache_share=share,
             parent_share=0.25,
-            cache_slow_start=(COLD, RAMP, MULTIPLE),
-            parent_slow_start=(COLD, RAMP, MULTIPLE),
-            budget_window=SPAN,
+            cache_slow_start=(COLD_SHARE, SLOW_START, BUDGET_MULTIPLE),
+            parent_slow_start=(COLD_SHARE, SLOW_START, BUDGET_MULTIPLE),
+            budget_window=BUDGET_WINDOW,
             link_capacity=20.0,
             siblings=True,
         )
@@ -56,8 +60,8 @@
             self,
             7,
             self.rules,
-            fleet,
-            Purges(GONE_EVERYWHERE),
+            pool,
+            Purges(MAX_PURGE_TIME),
             Collapsing(),
             kb_per_s=kb_per_s,
             hop_limit=8,
@@ -70,7 +74,7 @@
             {f"c{n}": (1, 0, n % 2) for n in range(caches)} | {f"p{n}": (0, 1, 0) for n in range(2)} | {"origin": (0, 2, 0)}, complete=True
         )
 
-    # What the tests make happen.
+    # Events that tests cause.
 
     def list_servers(self, rows, complete=False, state="up", started=0):
         self.router.pool.list_begins(complete)
@@ -84,8 +88,10 @@
         self.router.pool.list_ends()
 
     def change(self, name, state="up", started=None):
-        s = self.servers[name]
-        self.list_servers({name: (s["zone"], s["kind"], s["cell"])}, state=state, started=s["started"] if started is None else started)
+        server = self.servers[name]
+        self.list_servers(
+            {name: (server["zone"], server["kind"], server["cell"])}, state=state, started=server["started"] if started is None else started
+        )
 
     def arrive(self, ident, rule_at=0, obj="a", part=0, left=4 * SECOND, kb=100.0, group=1):
         self.txns[ident] = {
@@ -101,13 +107,13 @@
 
     def end(self, ident, result, note=0, number=None, waited=None):
         txn = self.txns[ident]
-        at = next(n for n, h in enumerate(txn["hops"]) if h["out"]) if number is None else number
-        hop = txn["hops"][at]
+        index = next(n for n, hop in enumerate(txn["hops"]) if hop["out"]) if number is None else number
+        hop = txn["hops"][index]
         hop["out"], hop["result"], hop["note"] = False, result, note
         final = txn["final"] is not None or result == "completed"
         if result == "completed" and txn["final"] is None:
             txn["final"] = "completed"
-        self.router.hop_ended(ident, at, result, self.clock - hop["at"], final, note, waited, None)
+        self.router.hop_ended(ident, index, result, self.clock - hop["at"], final, note, waited, None)
 
     def withdraw(self, ident):
         self.txns[ident]["final"] = self.txns[ident]["final"] or "withdrawn"
@@ -117,60 +123,66 @@
         self.purges.append((obj, group, self.clock - age, self.clock))
         self.router.purged(obj, group, age)
 
-    def pass_time(self, span):
-        until = self.clock + span
+    def pass_time(self, duration):
+        """Lets time pass: hops time out or end as cancelled, and alarms fire, in the order of their times."""
+        end = self.clock + duration
         while True:
-            cuts = [
-                (h["cut_at"], 0, i, n) for i, t in self.txns.items() for n, h in enumerate(t["hops"]) if h["out"] and not h.get("cancelled")
+            time_outs = [
+                (hop["cut_at"], 0, ident, number)
+                for ident, txn in self.txns.items()
+                for number, hop in enumerate(txn["hops"])
+                if hop["out"] and not hop.get("cancelled")
             ]
-            gone = [
-                (h["cancelled"] + 2 * MS, 1, i, n)
-                for i, t in self.txns.items()
-                for n, h in enumerate(t["hops"])
-                if h["out"] and h.get("cancelled")
+            cancelled_ends = [
+                (hop["cancelled"] + 2 * MS, 1, ident, number)
+                for ident, txn in self.txns.items()
+                for number, hop in enumerate(txn["hops"])
+                if hop["out"] and hop.get("cancelled")
             ]
-            due = sorted(cuts + gone + [(at, 2, label, 0) for label, at in self.alarms])[:1]
-            if not due or due[0][0] > until:
+            due = sorted(time_outs + cancelled_ends + [(at, 2, label, 0) for label, at in self.alarms])[:1]
+            if not due or due[0][0] > end:
                 break
-            at, what, ident, number = due[0]
+            at, kind, ident, number = due[0]
             self.clock = max(self.clock, at)
-            if what == 2:
+            if kind == 2:
                 self.alarms.remove((ident, at))
                 self.router.alarm_fired(ident)
             else:
-                self.end(ident, "timed_out" if what == 0 else "cancelled", number=number)
-        self.clock = until
+                self.end(ident, "timed_out" if kind == 0 else "cancelled", number=number)
+        self.clock = end
         self.check_answered()
 
-    # The host interface.
+    # The Host interface, called by the Router.
 
     def now(self):
         return self.clock
 
     def send_hop(self, ident, server, cut_at, source, rank, max_age, join, renew, fetch, go_by):
-        txn, s = self.txns[ident], self.servers[server]
+        txn, listed = self.txns[ident], self.servers[server]
         assert txn["final"] is None, "a hop after the final answer"
-        assert (s["state"], s["kind"], s["zone"]) == ("up", 0, 1), "a hop to a server that is not to be used"
+        assert (listed["state"], listed["kind"], listed["zone"]) == ("up", 0, 1), "a hop to a server that is not to be used"
         assert source is None or self.servers[source]["state"] == "up", "a source that drains or is gone"
-        assert self.second_copies or not any(h["out"] for h in txn["hops"]), "two hops out at once"
+        assert self.second_copies or not any(hop["out"] for hop in txn["hops"]), "two hops out at once"
         assert self.may_send(txn, server), "an effect may happen twice"
-        ran = [h for h in txn["hops"] if h["out"] or h["result"] not in NEVER_RAN]
-        if ran and txn["rule"].kind == "keyed":
-            assert go_by <= ran[0]["at"] + txn["rule"].dedup_window - 50 * MS, "a repeat may go out once the first is forgotten"
+        maybe_run = [hop for hop in txn["hops"] if hop["out"] or hop["result"] not in NEVER_RAN]
+        if maybe_run and txn["rule"].kind == "keyed":
+            assert go_by <= maybe_run[0]["at"] + txn["rule"].dedup_window - 50 * MS, "a repeat may go out once the first is forgotten"
         for name in (server, source):
-            began = self.servers[name]["started"] if name not in (None, "origin") else 0
-            if began and self.clock - began < RAMP and self.clock >= began and (name == server or source != server):
-                assert go_by <= began + ((self.clock - began) // SPAN + 1.5) * SPAN, "a hop to a cold server outlives its span"
-                assert name == server or not renew, "a hit that asks a cold parent, of which no answer tells"
+            started = self.servers[name]["started"] if name not in (None, "origin") else 0
+            if started and self.clock - started < SLOW_START and self.clock >= started and (name == server or source != server):
+                assert go_by <= started + ((self.clock - started) // BUDGET_WINDOW + 1.5) * BUDGET_WINDOW, (
+                    "a hop to a server in slow start outlives its budget window"
+                )
+                assert name == server or not renew, "a hit that revalidates at a parent in slow start, which no answer reports"
         assert len(txn["hops"]) < 8 and self.clock < cut_at <= txn["limit"]
         assert (rank == 0 and not join) if txn["rule"].uncacheable else rank >= 2
-        for obj, group, made, told in self.purges:
+        for obj, group, purged_at, _received_at in self.purges:
             if (
-                self.clock - made <= GONE_EVERYWHERE
+                self.clock - purged_at <= MAX_PURGE_TIME
                 and not txn["rule"].uncacheable
                 and (obj == txn["obj"] or (obj is None and group == txn["group"]))
             ):
-                assert 0 < max_age <= max(1000, self.clock - made), "a copy older than the purge would do"
+                assert 0 < max_age <= max(1000, self.clock - purged_at), "a copy older than the purge would do"
         hop = {
             "server": server,
             "source": source,
@@ -185,49 +197,51 @@
             "work": txn["kb"] / 1000.0,
         }
         txn["hops"].append(hop)
-        self.check_cold(server, 0.5)
+        self.check_slow_start_budget(server, 0.5)
         if source and source != "origin":
-            self.check_cold(source, 0.25)
+            self.check_slow_start_budget(source, 0.25)
 
-    def check_cold(self, name, share):
-        """All that this router asked of a cold server within any span stays within its share, but for a txn
-        in each of two spans where the share is rounded up by chance."""
+    def check_slow_start_budget(self, name, share):
+        """Asserts that the load which this router sent to a server in slow start within any window stays within its share of the
+        budget. Two more txns are allowed, because the share may be rounded up at random in each of two adjacent windows."""
         started = self.servers[name]["started"]
-        if not started or self.clock - started >= RAMP:
+        if not started or self.clock - started >= SLOW_START:
             return
-        hops = [h for t in self.txns.values() for h in t["hops"] if self.clock - h["at"] < SPAN and h["at"] >= started]
-        asked = [h for h in hops if h["server"] == name or (h["source"] == name and h["note"] not in (HIT, JOINED, PAST_FRESH))]
-        able = self.rating * (COLD + (1 - COLD) * (self.clock - started) / RAMP)
-        budget = share * MULTIPLE * able * SPAN / SECOND + 2 * max(h["work"] for h in asked)
-        assert sum(h["work"] for h in asked) <= budget, "a cold server pushed over"
+        hops = [hop for txn in self.txns.values() for hop in txn["hops"] if self.clock - hop["at"] < BUDGET_WINDOW and hop["at"] >= started]
+        sent = [hop for hop in hops if hop["server"] == name or (hop["source"] == name and hop["note"] not in (HIT, JOINED, PAST_FRESH))]
+        capacity = self.rating * (COLD_SHARE + (1 - COLD_SHARE) * (self.clock - started) / SLOW_START)
+        budget = share * BUDGET_MULTIPLE * capacity * BUDGET_WINDOW / SECOND + 2 * max(hop["work"] for hop in sent)
+        assert sum(hop["work"] for hop in sent) <= budget, "a server in slow start is overloaded"
 
     def may_send(self, txn, server):
-        ran = [h for h in txn["hops"] if h["out"] or h["result"] not in NEVER_RAN]
-        if not ran or txn["rule"].kind == "repeatable":
+        """Whether the rule allows a hop to that server after the hops that may have run."""
+        maybe_run = [hop for hop in txn["hops"] if hop["out"] or hop["result"] not in NEVER_RAN]
+        if not maybe_run or txn["rule"].kind == "repeatable":
             return True
-        if txn["rule"].kind == "unrepeatable" or self.clock - ran[0]["at"] >= txn["rule"].dedup_window - 50 * MS:
+        if txn["rule"].kind == "unrepeatable" or self.clock - maybe_run[0]["at"] >= txn["rule"].dedup_window - 50 * MS:
             return False
         key = txn["rule"].dedup_scope
-        return key == "all" or all(self.servers[h["server"]][key] == self.servers[server][key] for h in ran)
+        return key == "all" or all(self.servers[hop["server"]][key] == self.servers[server][key] for hop in maybe_run)
 
     def may_reject(self, txn):
-        ran = [h for h in txn["hops"] if h["out"] or h["result"] not in NEVER_RAN]
+        """Whether a rejection is allowed: the client may repeat the txn safely."""
+        maybe_run = [hop for hop in txn["hops"] if hop["out"] or hop["result"] not in NEVER_RAN]
         kind = txn["rule"].kind
-        return not ran or kind == "repeatable" or (kind == "keyed" and txn["rule"].dedup_scope == "all")
+        return not maybe_run or kind == "repeatable" or (kind == "keyed" and txn["rule"].dedup_scope == "all")
 
     def cancel(self, ident, number):
         self.txns[ident]["hops"][number]["cancelled"] = self.clock
 
-    def reject(self, ident, come_back):
+    def reject(self, ident, retry_after):
         assert self.may_reject(self.txns[ident]), "a rejection of what may have run"
         self.answer(ident, "rejected")
 
     def abort(self, ident):
         self.answer(ident, "aborted")
 
-    def answer(self, ident, word):
+    def answer(self, ident, outcome):
         assert self.txns[ident]["final"] is None, "a second final answer"
-        self.txns[ident]["final"] = word
+        self.txns[ident]["final"] = outcome
 
     def set_alarm(self, label, at):
         self.alarms.append((label, at))
@@ -241,7 +255,7 @@
     def log(self, text):
         self.lines.append(text)
 
-    # What holds at any time.
+    # Checks for any time.
 
     def check_answered(self):
         for ident, txn in self.txns.items():
@@ -251,7 +265,7 @@
         return self.txns[ident]["hops"]
 
 
-# Stand-ins for what the service talks to, on loopback, and the service itself as a process.
+# Stand-ins on loopback for the peers of the service, and the service itself as a process.
 
 CLASSES = [
     dict(name="media", repeat="idempotent", worth=2.0, lateWorth=0.1, aimUs=600_000, hardLimitUs=5_000_000),
@@ -260,6 +274,7 @@
 
 
 def settings():
+    """The key `settings` of the node's file."""
     return {
         "zone": 0,
         "areas": ["east"],
@@ -301,37 +316,38 @@
 
 
 def clock():
-    """The program's clock, in ns."""
+    """The clock of the program in nanoseconds: Unix time that moves with the monotonic clock."""
     return time.monotonic_ns() + MONOTONIC_TO_UNIX_NS
 
 
-def until(true, what="what was waited for", limit=20.0):
+def until(condition, description="what was waited for", limit=20.0):
+    """Waits until `condition()` returns a true value, and returns that value."""
     end = time.monotonic() + limit
-    while not (found := true()):
-        assert time.monotonic() < end, f"{what} did not come"
+    while not (value := condition()):
+        assert time.monotonic() < end, f"{description} did not come"
         time.sleep(0.005)
-    return found
+    return value
 
 
 def pause(process):
-    """Stops a process, and returns once each of its threads has stopped; on a busy machine that takes a moment."""
+    """Stops a process, and returns once all of its threads have stopped, which takes a moment on a busy machine."""
     process.send_signal(signal.SIGSTOP)
     tasks = f"/proc/{process.pid}/task"
-    until(lambda: all(open(f"{tasks}/{one}/stat").read().rsplit(")", 1)[1].split()[0] == "T" for one in os.listdir(tasks)))
+    until(lambda: all(open(f"{tasks}/{task}/stat").read().rsplit(")", 1)[1].split()[0] == "T" for task in os.listdir(tasks)))
 
 
 def wait_for_peer_state(sock, state):
-    """Returns once the other end of a connection on this machine is in that state of the system's table: 8, its peer's end has come;
-    7, reset or closed, where it is not listed at all."""
+    """Waits until the other end of a connection on this machine is in that state of /proc/net/tcp: 8 is CLOSE_WAIT, its peer has closed;
+    7 is CLOSED, also used if the connection is not listed because it was reset or closed."""
     here, there = (
         "%s:%04X" % (bytes(reversed(socket.inet_aton(host))).hex().upper(), port) for host, port in (sock.getsockname(), sock.getpeername())
     )
 
-    def found():
+    def has_state():
         rows = [row.split() for row in open("/proc/net/tcp").read().splitlines()[1:]]
         return next((int(row[3], 16) for row in rows if row[1] == there and row[2] == here), 7) == state
 
-    until(found)
+    until(has_state)
 
 
 class Listener:
@@ -359,12 +375,12 @@
             pass
 
     def serve(self, conn):
-        """Takes what comes and says nothing."""
+        """Reads everything and answers nothing."""
         while conn.recv(65_536):
             pass
 
     def reset(self):
-        conns, self.conns = self.conns, []  # those there now: one that comes meanwhile is another
+        conns, self.conns = self.conns, []  # only those open now: a connection accepted meanwhile is not reset
         for conn in conns:
             conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             try:
@@ -405,14 +421,14 @@
                 self.answer(want["id"], *said)
 
     def answer(self, ident, word, fields="-", body=b""):
-        """Now, and again if the router has given up that hop for a further one meanwhile."""
+        """Answers a hop now, and again if the router has given it up and sent another one meanwhile."""
         self.said[ident] = (word, fields, body)
         items = (ident.encode(), word.encode(), fields.encode(), body)
         self.held[ident].sendall(b"*4\r\n" + b"".join(b"$%d\r\n%s\r\n" % (len(i), i) for i in items))
 
 
 class Stalled(Cache):
-    """Stops reading when told to, and goes on when let go; its socket holds little meanwhile."""
+    """Reads only while the event `go_on` is set. Its small socket buffer makes the router's writes block meanwhile."""
 
     def __init__(self):
         self.go_on = threading.Event()
@@ -435,7 +451,7 @@
 
 
 class DiscoveryStub(Listener):
-    """The notice board: `add_event` adds an event; who watches gets all later than it has, then what comes."""
+    """The discovery service: `add_event` adds an event; a watcher gets all events after the one it names, then new ones."""
 
     def __init__(self, wait=0.0, numbers=True):
         self.events, self.watch_revisions, self.sent_revisions, self.wait, self.numbers = [], [], [], wait, numbers
@@ -444,20 +460,20 @@
     def serve(self, conn):
         last = int(conn.makefile("rb").readline().split()[1])
         self.watch_revisions.append(last)
-        time.sleep(self.wait)  # before it says anything
-        said = False
+        time.sleep(self.wait)  # before it sends anything
+        number_sent = False
         while True:
-            for event in [e for e in self.events if e["rev"] > last]:
+            for event in [event for event in self.events if event["rev"] > last]:
                 conn.sendall(json.dumps(event).encode() + b"\n")
                 last = event["rev"]
                 self.sent_revisions.append(last)
-            if self.numbers and not said:  # the last number alone, once it has caught up (a board says it each second)
+            if self.numbers and not number_sent:  # the last number alone, once all events are sent (the real service sends it each second)
                 conn.sendall(b"%d\n" % last)
-                said = True
+                number_sent = True
             time.sleep(0.005)
             try:
                 if not conn.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT):
-                    return  # else threads of tests that are over take the time of those that follow
+                    return  # otherwise threads of finished tests would use CPU time of later tests
             except BlockingIOError:
                 pass
 
@@ -466,11 +482,12 @@
 
 
 def endpoint(name, address, kind="std", status="up"):
+    """A server's entry in an event of the discovery service."""
     return {"name": name, "address": address, "zone": "east", "type": kind, "group": 0, "status": status, "weight": 50, "since_ms": 0}
 
 
 class Client:
-    """A client's connection: frames out, frames in."""
+    """A client's connection, which sends and receives frames."""
 
     def __init__(self, address):
         host, port = address.split(":")
@@ -511,8 +528,8 @@
         return kind, stream, data[5], fields, data[at:]
 
 
-# Put before a process' own modules: its Unix clock, and only that, is off by what the file says, as when an operator sets it.
-CLOCK = """import mmap, struct, time
+# Loaded as sitecustomize: shifts the Unix clock of a process, and no other clock, by the nanoseconds in a file, as if it were set.
+CLOCK_MODULE = """import mmap, struct, time
 with open({path!r}, "r+b") as file:
     held = mmap.mmap(file.fileno(), 8)
 real = time.time_ns
@@ -528,7 +545,7 @@
         folder.mkdir()
         self.off = folder / "off"
         self.off.write_bytes(bytes(8))
-        (folder / "sitecustomize.py").write_text(CLOCK.format(path=str(self.off)))
+        (folder / "sitecustomize.py").write_text(CLOCK_MODULE.format(path=str(self.off)))
         self.env = {"PYTHONPATH": os.pathsep.join([str(folder), str(ROOT)])}
 
     def set(self, seconds):
@@ -537,11 +554,11 @@
 
 
 class Service:
-    """The program as a process, with one cache `c0`, a parent, an origin and a board that stand in."""
+    """The program as a process, with stand-ins for the caches `c0`, `c1`, ..., a parent, an origin and the discovery service."""
 
     def __init__(self, folder, caches, notices=None, operators=None, env=None, **conf):
         self.discovery, self.folder = notices or DiscoveryStub(), folder
-        host = "127.%d.%d.1" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # tests beside these have theirs
+        host = "127.%d.%d.1" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250)  # each test process has an address of its own
         with socket.create_server((host, 0)) as free:
             self.address = "%s:%d" % free.getsockname()
         rows = [endpoint(f"c{n}", cache.address) for n, cache in enumerate(caches)]
@@ -573,20 +590,20 @@
         return {"LB_OPERATORS": str(path)}
 
     def early(self):
-        """A client as soon as the listener is open, whatever the router says of itself."""
+        """A client as soon as the listener is open, even if the router is not yet ready."""
 
-        def came():
+        def connect():
             try:
                 return Client(self.address)
             except OSError:
                 assert self.process.poll() is None, self.lines()
 
-        return until(came, "a listener")
+        return until(connect, "a listener")
 
     def client(self):
-        """A client, once the router says that it is ready."""
+        """A client, once the router answers that it is ready."""
 
-        def ready():
+        def connect_if_ready():
             try:
                 client = Client(self.address)
             except OSError:
@@ -595,7 +612,7 @@
             client.send(80, 1 << 30, b"\0")
             return client if client.get()[:3] == (81, 1 << 30, 79) else None
 
-        return until(ready, "a ready router")
+        return until(connect_if_ready, "a ready router")
 
     def reload(self, text=None, **conf):
         self.path.write_text(text or json.dumps(self.conf | conf))
@@ -611,15 +628,15 @@
 
 
 class PostedEvents:
-    """In place of route: keeps what is posted."""
+    """Stands in for the RouterHost: stores the arguments of the events that are posted to it."""
 
     hop_ended, txn_withdrawn = "hop_ended", "withdrawn"
 
     def __init__(self):
         self.posted = []
 
-    def post(self, what, *about):
-        self.posted.append(about)
+    def post(self, event, *arguments):
+        self.posted.append(arguments)
 
     def start_batch(self):
         pass
@@ -628,35 +645,36 @@
 
 
 class AlwaysOpenTxns(dict):
-    """Open txns of a test that is not about clients: each hop's txn has just been taken, and stands."""
+    """Open txns of a test without clients: the txn of every hop counts as open and just accepted."""
 
     def get(self, ident, _=None):
         return super().get(ident) or SimpleNamespace(taken_at=clock())
 
 
 def hold_server_readers(monkeypatch):
-    """From now on, connections to servers are read only once the event given back is set: their threads have not had the core."""
-    reading, held = ServerConnection.read_replies, threading.Event()
-    monkeypatch.setattr(ServerConnection, "read_replies", lambda lane: (held.wait(10), reading(lane)))
-    return held
+    """Connections to servers are read only once the returned event is set, as if their threads did not get the CPU before."""
+    read_replies, released = ServerConnection.read_replies, threading.Event()
+    monkeypatch.setattr(ServerConnection, "read_replies", lambda connection: (released.wait(10), read_replies(connection)))
+    return released
 
 
 def sender(address, state="up", lanes=4, open_txns=None, **others):
-    """Connections to `c0`, in that state, and to others by name, which are up."""
+    """A connection pool with the server `c0` in that state, and other servers by name, which are up."""
     answer_sender = AnswerSender(1 << 20)
     if open_txns is None:
         open_txns = OpenTxns()
         open_txns.by_id = AlwaysOpenTxns()
-    send = ConnectionPool(deployment(settings()), open_txns, answer_sender, lanes)
-    send.host = PostedEvents()
-    for name, where in {"c0": address, **others}.items():
-        host, port = where.split(":")
-        send.update_endpoint(name, (host, int(port)), state if name == "c0" else "up")
-    return send
+    pool = ConnectionPool(deployment(settings()), open_txns, answer_sender, lanes)
+    pool.host = PostedEvents()
+    for name, server_address in {"c0": address, **others}.items():
+        host, port = server_address.split(":")
+        pool.update_endpoint(name, (host, int(port)), state if name == "c0" else "up")
+    return pool
 
 
 class Link:
-    """A link in one direction of lines: `cut` ends and refuses connections, `stalled` passes nothing on and loses nothing."""
+    """A TCP proxy. While `cut` is set it ends and refuses connections; while `stalled` is set it holds back the lines of the server
+    without losing any."""
 
     def __init__(self, to):
         self.to, self.cut, self.stalled, self.socks = to, False, threading.Event(), set()
@@ -671,23 +689,23 @@
                 conn.close()
                 continue
             try:
-                there = socket.create_connection(self.to, timeout=2)
+                server_conn = socket.create_connection(self.to, timeout=2)
             except OSError:
                 conn.close()
                 continue
-            self.socks |= {conn, there}
-            for a, b, lines in ((conn, there, False), (there, conn, True)):
-                threading.Thread(target=self.pump, args=(a, b, lines), daemon=True).start()
+            self.socks |= {conn, server_conn}
+            for source, target, holds_lines in ((conn, server_conn, False), (server_conn, conn, True)):
+                threading.Thread(target=self.pump, args=(source, target, holds_lines), daemon=True).start()
 
-    def pump(self, a, b, lines):
+    def pump(self, source, target, holds_lines):
         try:
-            while data := a.recv(65536):
-                while lines and self.stalled.is_set():
+            while data := source.recv(65536):
+                while holds_lines and self.stalled.is_set():
                     time.sleep(0.01)
-                b.sendall(data)
+                target.sendall(data)
         except OSError:
             pass
-        for sock in (a, b):
+        for sock in (source, target):
             self.socks.discard(sock)
             try:
                 sock.shutdown(socket.SHUT_RDWR)
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -5,7 +5,7 @@
 from random import Random
 
 import pytest
-from helpers import SPAN, Referee, rule
+from helpers import BUDGET_WINDOW, Referee, rule
 
 from fieldspur.decide import MS, SECOND, ServerPool
 from fieldspur.host import FILLED_BY_ORIGIN, HIT, ORIGIN_FAILED, SOURCE_REFUSED
@@ -418,7 +418,7 @@
     tokens_left, charged = parent.tokens, referee.router.txns[1].hops[0].source_charge
     assert charged
     if next_window:
-        referee.clock += SPAN
+        referee.clock += BUDGET_WINDOW
         referee.router.pool.has_budget(parent, referee.clock, 100 * MS)
         tokens_left, charged = parent.tokens, 0.0
     referee.end(1, "completed", HIT)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,7 +3,7 @@
 import random
 
 import pytest
-from helpers import COLD, MULTIPLE, RAMP, SPAN, Referee, rule
+from helpers import BUDGET_MULTIPLE, BUDGET_WINDOW, COLD_SHARE, SLOW_START, Referee, rule
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
@@ -92,9 +92,9 @@
             rating_quality=sized,
             cache_share=1 / routers,
             parent_share=1 / routers,
-            cache_slow_start=(COLD, RAMP, MULTIPLE),
-            parent_slow_start=(COLD, RAMP, MULTIPLE),
-            budget_window=SPAN,
+            cache_slow_start=(COLD_SHARE, SLOW_START, BUDGET_MULTIPLE),
+            parent_slow_start=(COLD_SHARE, SLOW_START, BUDGET_MULTIPLE),
+            budget_window=BUDGET_WINDOW,
             link_capacity=0.0,
             siblings=False,
         )
@@ -104,15 +104,15 @@
             pool.server_listed(name, "up", clock if name == "cold" else 0, 1, rating, 0, 0)
         pool.list_ends()
         pools.append(pool)
-    for now in range(clock, clock + RAMP, 20 * MS):
+    for now in range(clock, clock + SLOW_START, 20 * MS):
         for pool in pools:  # the warmed-up server is at its limit, and every router uses its whole budget for the other one
             pool.count_transfer(pool.servers["warm"], int(20 * MS * rating / routers), now)
             while pool.has_budget(pool.servers["cold"], now, 300 * MS):
                 pool.servers["cold"].tokens -= 300 * MS
                 sent_times.append(now)
-        capacity = rating * (COLD + (1 - COLD) * max(0, now - SPAN - clock) / RAMP)
-        assert 0.3 * sum(sent_at > now - SPAN for sent_at in sent_times) <= MULTIPLE * capacity + 0.3
-    assert 0.3 * len(sent_times) > 0.1 * rating * RAMP / SECOND  # the budget is used
+        capacity = rating * (COLD_SHARE + (1 - COLD_SHARE) * max(0, now - BUDGET_WINDOW - clock) / SLOW_START)
+        assert 0.3 * sum(sent_at > now - BUDGET_WINDOW for sent_at in sent_times) <= BUDGET_MULTIPLE * capacity + 0.3
+    assert 0.3 * len(sent_times) > 0.1 * rating * SLOW_START / SECOND  # the budget is used
 
 
 @pytest.mark.parametrize("routers, rating", [(20, 40.0), (30, 200.0), (200, 200.0)])
@@ -131,9 +131,9 @@
             rating_quality="nominal",
             cache_share=1 / routers,
             parent_share=1 / routers,
-            cache_slow_start=(COLD, RAMP, MULTIPLE),
-            parent_slow_start=(COLD, RAMP, MULTIPLE),
-            budget_window=SPAN,
+            cache_slow_start=(COLD_SHARE, SLOW_START, BUDGET_MULTIPLE),
+            parent_slow_start=(COLD_SHARE, SLOW_START, BUDGET_MULTIPLE),
+            budget_window=BUDGET_WINDOW,
             link_capacity=0.0,
             siblings=False,
         )
@@ -145,9 +145,9 @@
         return pool
 
     pools = [start_router(seed, clock - SECOND) for seed in range(routers)]
-    for now in range(clock, clock + RAMP, 20 * MS):
-        window, time_in_window = divmod(now - clock, SPAN)
-        if window % 2 and time_in_window in [int(part * SPAN) for part in restarts_at]:
+    for now in range(clock, clock + SLOW_START, 20 * MS):
+        window, time_in_window = divmod(now - clock, BUDGET_WINDOW)
+        if window % 2 and time_in_window in [int(part * BUDGET_WINDOW) for part in restarts_at]:
             for n in range(routers * 7 // 10):
                 pools[n] = start_router(now + n, now)
         for pool in pools:
@@ -159,8 +159,8 @@
     sent_times.sort()
     first = 0
     for last, sent_at in enumerate(sent_times):
-        while sent_times[first] <= sent_at - SPAN:
+        while sent_times[first] <= sent_at - BUDGET_WINDOW:
             first += 1
-        budget = MULTIPLE * rating * (COLD + (1 - COLD) * max(0, sent_at - SPAN - clock) / RAMP) / 0.3
+        budget = BUDGET_MULTIPLE * rating * (COLD_SHARE + (1 - COLD_SHARE) * max(0, sent_at - BUDGET_WINDOW - clock) / SLOW_START) / 0.3
         assert last + 1 - first <= budget + 2 * budget**0.5 + 2
-    assert 0.3 * len(sent_times) > 0.1 * rating * RAMP / SECOND  # the budget is used
+    assert 0.3 * len(sent_times) > 0.1 * rating * SLOW_START / SECOND  # the budget is used
