--- a/fieldspur/bench/sample_settings.py
+++ b/fieldspur/bench/sample_settings.py
@@ -1,7 +1,8 @@
-"""A plain node's file, as a bench or a laboratory needs it: three rules, one location, figures of no deployment."""
+"""A sample node file for benches and the laboratory: four rules and, by default, one zone. Its values come from no deployment."""
 
 from __future__ import annotations
 
+# The remap rules; each field is a key of a class in the `settings` object.
 RULES = [
     dict(name="pages", repeat="idempotent", worth=1.0, lateWorth=0.2, aimUs=400_000, aimStretch=2.0, hardLimitUs=4_000_000),
     dict(name="media", repeat="idempotent", worth=2.0, lateWorth=0.2, aimUs=900_000, aimStretch=2.0, hardLimitUs=8_000_000),
@@ -18,13 +19,13 @@
     ),
     dict(name="ledger", repeat="at_most_once", worth=10.0, lateWorth=0.1, aimUs=800_000, aimStretch=2.0, hardLimitUs=3_000_000),
 ]
-COLUMNS = ["active", "cpu", "x0", "x1"]
+REPORT_COLUMNS = ["active", "cpu", "x0", "x1"]
 
 
 def settings(rules: list | None = None, zone: int = 0, zones: tuple = ("east",), routers: int = 1, everywhere: int = 1, **more) -> dict:
-    """The `settings` object: `routers` of each zone and `everywhere` in all."""
+    """Returns the `settings` object of a node in `zones[zone]`: `routers` in each zone, `everywhere` in all zones together."""
     rules = RULES if rules is None else rules
-    kept = [row["repeat"] == "idempotent" for row in rules]
+    cacheable = [row["repeat"] == "idempotent" for row in rules]
     return {
         "zone": zone,
         "areas": list(zones),
@@ -32,11 +33,11 @@
         "weights": "nominal",
         "replicasOfMe": everywhere,
         "classes": [dict(row) for row in rules],
-        "report": {"columns": COLUMNS},
+        "report": {"columns": REPORT_COLUMNS},
         "familyInfo": dict(
             upperKind=1,
             rootKind=2,
-            neverKept=[not yes for yes in kept],
+            neverKept=[not can_be_cached for can_be_cached in cacheable],
             goodForUs=[0] * len(rules),
             olderByUs=[0] * len(rules),
             classStaleWorth=[0.5] * len(rules),
@@ -68,7 +69,7 @@
 def endpoint(
     name: str, port: int, kind: str = "std", zone: str = "east", status: str = "up", weight: float = 50.0, since_ms: int = 0, group: int = 0
 ) -> dict:
-    """One row of the notice board's list; servers listen on loopback."""
+    """Returns one server of the discovery service's list; its address is on loopback."""
     return {
         "name": name,
         "address": f"127.0.0.1:{port}",
@@ -91,14 +92,14 @@
     seed: str = "8c1f30d27a5be964",
     **more,
 ) -> dict:
-    """The whole file that LB_CONFIG names; `servers` are (name, port, kind)."""
-    rows = [endpoint(who, port, kind) for who, port, kind in servers]
+    """Returns the content of the file that LB_CONFIG names. `servers` are (name, port, kind); `more` is passed to `settings`."""
+    endpoints = [endpoint(server_name, port, kind) for server_name, port, kind in servers]
     return {
         "name": name,
         "listen": f"127.0.0.1:{listen}",
         "board": f"127.0.0.1:{board}",
         "seed": seed,
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets},
-        "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"index": 1, "snapshot": True, "endpoints": rows}}]},
+        "known": {"rev": 1, "notices": [{"rev": 1, "pool": {"index": 1, "snapshot": True, "endpoints": endpoints}}]},
         "settings": settings(**more),
     }
--- a/fieldspur/bench/takeover.py
+++ b/fieldspur/bench/takeover.py
@@ -19,7 +19,7 @@
 
 from fieldspur.bench.path import ROOT, BenchFailed, free_port
 from fieldspur.bench.sample_settings import node_file
-from fieldspur.bench.start import Board
+from fieldspur.bench.start import UnchangedDiscovery
 from fieldspur.fleet.admin import fetch_line
 
 LOOK = 0.02  # s
@@ -31,7 +31,7 @@
     def __init__(self, folder: Path, members: int, lease: float, seed: int):
         self.folder, self.many, self.lease, self.random = folder, members, lease, random.Random(seed)
         self.host = "127.%d.%d.%d" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250, 10 + seed)
-        self.board = Board()
+        self.board = UnchangedDiscovery()
         self.ports = [free_port(self.host) for _ in range(members)]
         self.processes: list = [None] * members
         folder.mkdir()
