--- a/fieldspur/decide.py
+++ b/fieldspur/decide.py
@@ -492,10 +492,10 @@
 
     def recent_utilization(self, server: Server, now: int) -> float:
         """Utilization of a cache as last observed. The older the observation, the more the mean of the zone's caches replaces it."""
-        mean = self.mean_utilization and self.mean_utilization * math.exp((self.mean_utilization_at - now) / UTILIZATION_DECAY)
-        if not server.utilization[0] and not mean:
+        zone_mean = self.mean_utilization and self.mean_utilization * math.exp((self.mean_utilization_at - now) / UTILIZATION_DECAY)
+        if not server.utilization[0] and not zone_mean:
             return 0.0
-        return mean + (server.utilization[0] - mean) * math.exp((server.utilization[1] - now) / UTILIZATION_DECAY)
+        return zone_mean + (server.utilization[0] - zone_mean) * math.exp((server.utilization[1] - now) / UTILIZATION_DECAY)
 
     def recent_mean_utilization(self, now: int) -> float:
         """Mean utilization of the zone's caches, decayed to now."""
--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -216,23 +216,23 @@
     unfinished_bytes: int  # received bytes of an unfinished frame
     since: float  # when that frame began, when reading failed, or when the connection was accepted
     idle_since: float  # when something was last written
-    proved: bool  # the client has sent a valid request
+    sent_valid_request: bool  # the client has sent a valid request
 
 
 def close_reason(client: ClientState, now: float, no_reader_s: float) -> CloseReason | None:
     """Why a connection is to be closed now, or None. A client that waits for an answer is never closed only because it is slow."""
-    waited, idle = now - client.since, now - client.idle_since
+    waited_s, idle_s = now - client.since, now - client.idle_since
     if client.shut_at:
         return CloseReason.AFTER_SHUT if now - client.shut_at > AFTER_SHUT_S else None
     if client.has_open_txns:
-        return CloseReason.HALF_FRAME if client.unfinished_bytes and waited > FRAME_WAIT_S else None
+        return CloseReason.HALF_FRAME if client.unfinished_bytes and waited_s > FRAME_WAIT_S else None
     if client.writing:
-        return CloseReason.NO_READER if idle > no_reader_s else None
+        return CloseReason.NO_READER if idle_s > no_reader_s else None
     if client.failed:
-        return CloseReason.UNREADABLE if waited > AFTER_SHUT_S else None
+        return CloseReason.UNREADABLE if waited_s > AFTER_SHUT_S else None
     if client.unfinished_bytes:
-        return CloseReason.HALF_FRAME if waited > FRAME_WAIT_S else None
-    return CloseReason.IDLE if idle > (IDLE_WAIT_S if client.proved else FRAME_WAIT_S) else None
+        return CloseReason.HALF_FRAME if waited_s > FRAME_WAIT_S else None
+    return CloseReason.IDLE if idle_s > (IDLE_WAIT_S if client.sent_valid_request else FRAME_WAIT_S) else None
 
 
 # Connections to servers.
@@ -257,21 +257,21 @@
 
     def __init__(self):
         self.failing_since = 0.0  # 0: resources are not exhausted
-        self.freed = False  # descriptors were freed since the last accept that succeeded
+        self.freed_descriptors = False  # descriptors were freed since the last accept that succeeded
 
     def succeeded(self) -> None:
         """An accept succeeded. If descriptors had to be freed for it, resources still count as exhausted."""
-        if not self.freed:
+        if not self.freed_descriptors:
             self.failing_since = 0.0
-        self.freed = False
+        self.freed_descriptors = False
 
     def should_free_descriptors(self, error_number: int | None, now: float) -> bool:
         """Whether idle clients are to be closed after an accept that failed with this errno."""
         if error_number not in RESOURCES_EXHAUSTED:
             return False
         self.failing_since = self.failing_since or now
-        self.freed |= now - self.failing_since >= ACCEPT_FAILING_S
-        return self.freed
+        self.freed_descriptors |= now - self.failing_since >= ACCEPT_FAILING_S
+        return self.freed_descriptors
 
 
 def may_cut(shut_at: float, now: float) -> bool:
