--- a/fieldspur/__main__.py
+++ b/fieldspur/__main__.py
@@ -55,8 +55,8 @@
 
     def __init__(self, node: Node, operator_settings: Operators = Operators()):
         site, self.node, self.operator_settings = node.site, node, operator_settings
-        share = operator_settings.memory
-        self.answer_sender = AnswerSender(max_held_bytes=int(node.memory * share.answers))
+        memory_shares = operator_settings.memory
+        self.answer_sender = AnswerSender(max_held_bytes=int(node.memory * memory_shares.answers))
         self.open_txns = OpenTxns()
         # Half of the descriptors is for clients, who use a third at most; a quarter is for servers; the rest is a reserve.
         # A connection to a server takes up to 0.6 MB, so all of them together take less than a third of the memory.
@@ -76,9 +76,9 @@
         self.client_listener = ClientListener(
             node.listen,
             node.sockets // 2,
-            int(node.memory * share.frames),
+            int(node.memory * memory_shares.frames),
             site.idle_timeout,
-            Admission(site, self.open_txns, self.router_host, int(node.memory * share.bodies)),
+            Admission(site, self.open_txns, self.router_host, int(node.memory * memory_shares.bodies)),
             self.open_txns,
             self.router_host,
             self.answer_sender,
@@ -97,6 +97,7 @@
         self.longest_time_limit = max((rule.time_limit for rule in site.rules), default=0) / 1e9
 
     def start(self) -> None:
+        """Starts all threads. Txns wait at the startup gate until the server list is current."""
         # The gate prevents routing by the file's server list before the discovery service has reported newer drains:
         # in the scenario herd+mass, restarted routers used a draining parent before they had read the discovery service.
         # The wait is bounded, so a router starts without a discovery service too. Txns that arrive meanwhile wait at the
