--- a/fieldspur/lab/checks/invariants.py
+++ b/fieldspur/lab/checks/invariants.py
@@ -63,8 +63,8 @@
     def lag(self, _value: int) -> None:
         """Bounded by `stall`, which knows of the last moments; the longest of a whole run would excuse everything after it."""
 
-    def broke(self, rule: int | str, text: str) -> None:
-        super().broke(NAMES.get(rule, rule), f"{self.second():.2f} s: {text}")
+    def add_violation(self, rule: int | str, text: str) -> None:
+        super().add_violation(NAMES.get(rule, rule), f"{self.second():.2f} s: {text}")
 
     # Clients' side.
 
@@ -88,7 +88,7 @@
         one = self.tries.get((conn, stream))
         if one is None or one.withdrawn or at < self.asleep.get(conn.router, 0):
             return
-        self.broke(
+        self.add_violation(
             "final_answer",
             f"request {one.ident} ({one.kind}) at router {conn.router}: no answer {(at - one.limit_at) // MS} ms after its time limit",
         )
@@ -109,7 +109,7 @@
             return found
         for one in found:
             self.counts["lost"] += 1
-            self.broke(
+            self.add_violation(
                 "final_answer",
                 f"request {one.ident} ({one.kind}) at router {conn.router}: its connection ended without an answer "
                 f"{(at - one.sent) // MS} ms after it was sent",
@@ -122,7 +122,7 @@
         for (conn, _), one in self.tries.items():
             if conn in conns and not one.withdrawn and at - one.sent > CROSSING + self.lag:
                 self.counts["lost"] += 1
-                self.broke(
+                self.add_violation(
                     "final_answer",
                     f"request {one.ident} ({one.kind}) at router {conn.router}: no answer when the router was killed, "
                     f"{(at - one.sent) // MS} ms after it was sent, {(one.sent - told) // MS} ms after SIGTERM",
@@ -147,7 +147,9 @@
         if one is None or entry is None:
             return entry
         if one.withdrawn and first > one.withdrawn + DEPARTED_GRACE + self.lag:
-            self.broke("departed_client", f"request {ident}: an attempt begun {(first - one.withdrawn) // MS} ms after its client had left")
+            self.add_violation(
+                "departed_client", f"request {ident}: an attempt begun {(first - one.withdrawn) // MS} ms after its client had left"
+            )
         late = at - first > LATE_READ  # its server read nothing for a while: what follows may say that it is given up
         for other in one.hops[:-1]:
             if not other.end and not self.unread(other.server):
@@ -162,7 +164,9 @@
         ends = [one.ended_at for one in (other, entry) if one.end]
         both = (min(ends) if ends else at + ATTEMPT_LOOK) - max(other.came, entry.came)
         if both > OWN + self.lag:
-            self.broke("one_attempt", f"request {ident}: at {entry.server} while its attempt at {other.server} is out, {both // MS} ms")
+            self.add_violation(
+                "one_attempt", f"request {ident}: at {entry.server} while its attempt at {other.server} is out, {both // MS} ms"
+            )
 
     def passed_on(self, ident: str, limit_ms: int, first: int) -> None:
         one = self.by_ident.get(ident)
@@ -170,7 +174,9 @@
             return
         left_ms = (one.limit_at - first) / MS
         if limit_ms > left_ms + DEADLINE_GRACE_MS + self.lag / MS:
-            self.broke("deadline", f"request {ident}: a limit of {limit_ms} ms passed on where its client has {left_ms:.0f} ms left")
+            self.add_violation(
+                "deadline", f"request {ident}: a limit of {limit_ms} ms passed on where its client has {left_ms:.0f} ms left"
+            )
 
     def worked(self, work: int) -> None:
         """A request of so much work came to a server."""
@@ -190,7 +196,7 @@
         allowed = self.fall_multiple * able * SECOND / self.mean_work
         calls = sum(one for _, one in rows) / self.mean_work
         if calls > slow_start_bound(allowed):
-            self.broke(
+            self.add_violation(
                 "slow_start",
                 f"{name}: {calls:.1f} calls of mean work in a second, where {allowed:.1f} are allowed "
                 f"and {slow_start_bound(allowed):.1f} borne",
--- a/fieldspur/lab/checks/rule_checker.py
+++ b/fieldspur/lab/checks/rule_checker.py
@@ -64,7 +64,7 @@
         # Routers that a fault stopped: until when what they owe may be late. What was withdrawn is owed no more.
         self.asleep: dict[int, int] = {}
 
-    def broke(self, rule: int, text: str) -> None:
+    def add_violation(self, rule: int, text: str) -> None:
         self.counts[f"rule_{rule}"] += 1
         if len(self.violations[rule]) < MOST_KEPT:
             self.violations[rule].append(text)
@@ -85,22 +85,22 @@
         """An answer came. `issued`, in ns: of the copy that a completed one brought; `wrong`: why it can't be used."""
         one = self.tries.pop((conn, stream), None)
         if one is None:
-            self.broke(1, f"an answer to nobody, or a second one, on stream {stream}")
+            self.add_violation(1, f"an answer to nobody, or a second one, on stream {stream}")
             return None
         if at < self.asleep.get(getattr(conn, "router", -1), 0) and not one.withdrawn:
             return None
         if one.withdrawn:  # it may cross the withdrawal, no later
             if at - one.withdrawn > SLACK + OWN + self.lag:
-                self.broke(1, f"txn {one.ident}: answered {(at - one.withdrawn) // MS} ms after it was withdrawn")
+                self.add_violation(1, f"txn {one.ident}: answered {(at - one.withdrawn) // MS} ms after it was withdrawn")
             return None
         one.answered = at
         self.counts[word] += 1
         if wrong:
-            self.broke(1, f"txn {one.ident}: {wrong}")
+            self.add_violation(1, f"txn {one.ident}: {wrong}")
         if at > one.limit_at + SLACK + OWN + self.lag:
-            self.broke(1, f"txn {one.ident}: answered {(at - one.limit_at) // MS} ms after its time limit")
+            self.add_violation(1, f"txn {one.ident}: answered {(at - one.limit_at) // MS} ms after its time limit")
         if word == "rejected" and one.kind == "unrepeatable" and any(hop.end not in NEVER_RAN for hop in one.hops):
-            self.broke(2, f"txn {one.ident}: rejected as harmless to try again, and it may have run")
+            self.add_violation(2, f"txn {one.ident}: rejected as harmless to try again, and it may have run")
         if word == "completed" and issued is not None:
             asked = max((hop.first for hop in one.hops if hop.end == "ACK"), default=one.sent)
             for obj, group, made, told in self.purges:
@@ -109,7 +109,7 @@
                     and issued < made - MS
                     and asked > told + PURGE_GRACE + self.lag
                 ):
-                    self.broke(
+                    self.add_violation(
                         5,
                         f"txn {one.ident}: a copy {(made - issued) // MS} ms older than a purge, "
                         f"asked {(asked - told) // MS} ms after it was told",
@@ -134,17 +134,17 @@
         for one in lost:
             self.counts["lost"] += 1
             if not fault and at < one.limit_at + SLACK:
-                self.broke(1, f"txn {one.ident}: its connection ended without an answer")
+                self.add_violation(1, f"txn {one.ident}: its connection ended without an answer")
         return lost
 
     def finish(self, at: int) -> None:
         """At the end: what has had no answer in its time, and effects that took place twice."""
         for one in self.tries.values():
             if not one.withdrawn and at > one.limit_at + SLACK + OWN + self.lag:
-                self.broke(1, f"txn {one.ident}: no answer {(at - one.limit_at) // MS} ms after its time limit")
+                self.add_violation(1, f"txn {one.ident}: no answer {(at - one.limit_at) // MS} ms after its time limit")
         for name, times in self.effects.items():
             if times > 1 and self.kinds.get(name) != "repeatable":
-                self.broke(2, f"{self.kinds.get(name, 'unknown')} txn {name}: its effect took place {times} times")
+                self.add_violation(2, f"{self.kinds.get(name, 'unknown')} txn {name}: its effect took place {times} times")
 
     # Servers' side.
 
@@ -160,16 +160,16 @@
         for name, what in ((server, "a hop"), (source, "a fill source")):
             state, since = self.states.get(name, ("up", 0)) if name else ("up", 0)
             if state != "up" and first > since + DRAIN_GRACE + OWN + self.lag:
-                self.broke(3, f"{what} {(first - since) // MS} ms after {name} was told to be {state}")
+                self.add_violation(3, f"{what} {(first - since) // MS} ms after {name} was told to be {state}")
         one = self.by_ident.get(ident)
         if one is None:
-            self.broke(1, f"a hop for txn {ident}, which nobody sent")
+            self.add_violation(1, f"a hop for txn {ident}, which nobody sent")
             return None
         ran = [hop.came for hop in one.hops if hop.end not in NEVER_RAN]
         if ran and one.kind == "unrepeatable":
-            self.broke(2, f"unrepeatable txn {ident} sent again, and it may have run")
+            self.add_violation(2, f"unrepeatable txn {ident} sent again, and it may have run")
         if ran and one.kind == "keyed" and at - ran[0] > self.span + OWN:
-            self.broke(2, f"keyed txn {ident} sent again {(at - ran[0]) // MS} ms after it may have run")
+            self.add_violation(2, f"keyed txn {ident} sent again {(at - ran[0]) // MS} ms after it may have run")
         one.hops.append(Hop(at, first))
         return one.hops[-1]
 
@@ -190,7 +190,7 @@
             rows.popleft()
         total, largest = sum(w for _, w in rows), max(w for _, w in rows)
         if total > self.fall_multiple * able * SECOND + 2 * self.routers * largest:
-            self.broke(4, f"{name}: asked for {total / SECOND:.1f} s of transfers in a second, able to do {able:.1f}")
+            self.add_violation(4, f"{name}: asked for {total / SECOND:.1f} s of transfers in a second, able to do {able:.1f}")
 
     def effect(self, name: str) -> None:
         self.effects[name] += 1
--- a/fieldspur/lab/checks/work_order_checker.py
+++ b/fieldspur/lab/checks/work_order_checker.py
@@ -32,7 +32,7 @@
         self.on_free: Callable = lambda order: None
         self.lines = self.size = 0
 
-    def broke(self, text: str) -> None:
+    def add_violation(self, text: str) -> None:
         self.broken.append(text)
 
     def line(self, member: int, value: dict, size: int, now: int) -> None:
@@ -54,7 +54,7 @@
             if found.number == max(self.documents):  # an older one that was passed over tells of nothing new
                 self.follow(found, now)
         elif known != found:
-            self.broke(f"document {found.number} is not the same at member {member}")
+            self.add_violation(f"document {found.number} is not the same at member {member}")
 
     def follow(self, found: work_orders.WorkDocument, now: int) -> None:
         for order in found.orders:
@@ -68,7 +68,7 @@
             self.checker.told(order.machine, TOLD.get(order.state, "up"), now)
             if order.state == work_orders.FREE:
                 if still := self.open_at(order.machine):
-                    self.broke(f"{order.machine} was said to be free with {len(still)} open there, {still[0]}")
+                    self.add_violation(f"{order.machine} was said to be free with {len(still)} open there, {still[0]}")
                 self.on_free(order)
         for ended in found.ended:
             if self.states.get(ended.ident) not in (work_orders.DONE, work_orders.DROPPED, work_orders.REFUSED):
@@ -78,7 +78,7 @@
                     self.checker.told(ended.machine, "up", now)
         away = found.machines_in(work_orders.AWAY)
         if len(away) > self.most:
-            self.broke(f"{len(away)} machines away, {self.most} allowed: {', '.join(sorted(away))}")
+            self.add_violation(f"{len(away)} machines away, {self.most} allowed: {', '.join(sorted(away))}")
 
     def counts(self) -> dict[str, int]:
         found: dict[str, int] = {}
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -59,7 +59,7 @@
                 elif items[0] == b"busy" and not self.model.silent:
                     conn.write(wire.said(items[1].decode(), "READY", self.meter()))
         except (wire.Wrong, ValueError, IndexError, KeyError) as wrong:
-            self.world.checker.broke(1, f"{self.model.name} was sent what is not of the protocol: {wrong}")
+            self.world.checker.add_violation(1, f"{self.model.name} was sent what is not of the protocol: {wrong}")
             conn.reset()
 
     def gave_up(self, spot: tuple, at: int) -> None:
--- a/fieldspur/lab/runs/load_generator.py
+++ b/fieldspur/lab/runs/load_generator.py
@@ -74,7 +74,7 @@
                     self.router_ending = True
                     self.load.router_leaving(self)
         except wire.Wrong as error:
-            self.load.checker.broke(1, f"router {self.router} wrote what is not of the protocol: {error}")
+            self.load.checker.add_violation(1, f"router {self.router} wrote what is not of the protocol: {error}")
             self.conn.reset()
 
     def receive_answer(self, stream: int, payload: bytes) -> None:
--- a/fieldspur/lab/soak/play.py
+++ b/fieldspur/lab/soak/play.py
@@ -205,7 +205,7 @@
             return
         if not node.is_stopped():
             self.checker.killed(self.load.connections[node.number], self.loop.now(), node.sigterm_at)
-            self.checker.broke(
+            self.checker.add_violation(
                 "shutdown",
                 f"router {node.number}: still there when it was killed, {(self.loop.now() - node.sigterm_at) // MS} ms after SIGTERM",
             )
@@ -216,7 +216,7 @@
         if node.process.poll() is None:
             return self.loop.later(20 * MS, lambda: self.await_end(node))
         if node.process.returncode and not node.killed:
-            self.checker.broke("crash", f"router {node.number}: ended with code {node.process.returncode} on SIGTERM")
+            self.checker.add_violation("crash", f"router {node.number}: ended with code {node.process.returncode} on SIGTERM")
         self.loop.later(CONNECTION_END_DELAY, lambda: self.start_again(node))
 
     def start_again(self, node: SoakRouter) -> None:
@@ -227,12 +227,12 @@
     def await_back(self, node: SoakRouter) -> None:
         took = time.monotonic() - node.started_at
         if node.process.poll() is not None:
-            self.checker.broke(
+            self.checker.add_violation(
                 "crash", f"router {node.number}: did not start again, code {node.process.returncode}: {self.last_line(node)}"
             )
             return self.loop.later(SECOND, lambda: self.start_again(node))
         if took > READY_MAX_S:
-            self.checker.broke("ready", f"router {node.number}: not ready after {took:.1f} s")
+            self.checker.add_violation("ready", f"router {node.number}: not ready after {took:.1f} s")
         self.query_ready(node, lambda: self.back(node), lambda: self.await_back(node))
 
     def back(self, node: SoakRouter) -> None:
@@ -275,7 +275,7 @@
                 and self.is_serving(node)
             ):
                 node.crashed = f"ended with code {node.process.returncode}"
-                self.checker.broke("crash", f"router {node.number}: {node.crashed}: {self.last_line(node)}")
+                self.checker.add_violation("crash", f"router {node.number}: {node.crashed}: {self.last_line(node)}")
                 self.load.gone_until[node.number] = self.loop.now() + 3600 * SECOND
                 self.loop.later(SECOND, lambda node=node: self.start_again(node))
         self.curve.clear()
@@ -293,14 +293,18 @@
             now = node.samples[-1]
             self.checker.most_memory_mb = max(self.checker.most_memory_mb, now["rss_mb"])
             if now["rss_mb"] > MAX_PEAK_SHARE * self.plan.memory_mb:
-                self.checker.broke("resources", f"router {node.number}: {now['rss_mb']:.0f} MB of {self.plan.memory_mb} at its peak")
+                self.checker.add_violation(
+                    "resources", f"router {node.number}: {now['rss_mb']:.0f} MB of {self.plan.memory_mb} at its peak"
+                )
             kept = now["resident_mb"] - node.baseline["resident_mb"]
             self.checker.most_kept_mb = max(self.checker.most_kept_mb, kept)
             if kept > MAX_KEPT_SHARE * self.plan.memory_mb:
-                self.checker.broke("resources", f"router {node.number}: {kept:.0f} MB of {self.plan.memory_mb} kept after the load")
+                self.checker.add_violation("resources", f"router {node.number}: {kept:.0f} MB of {self.plan.memory_mb} kept after the load")
             for name, extra in (("files", EXTRA_FILES), ("threads", EXTRA_THREADS)):
                 if now[name] > node.baseline[name] + extra:
-                    self.checker.broke("resources", f"router {node.number}: {now[name]} {name}, {node.baseline[name]} before the load")
+                    self.checker.add_violation(
+                        "resources", f"router {node.number}: {now[name]} {name}, {node.baseline[name]} before the load"
+                    )
         self.loop.stopped = True
 
     def figures(self) -> dict:
@@ -308,7 +312,7 @@
             raise LabFailed("a router did not come up; --logs keeps what it said")
         ready_times = sorted(self.ready_durations)
         if ready_times and ready_times[int(0.9 * (len(ready_times) - 1))] > READY_P90_S:
-            self.checker.broke("ready", f"a tenth of {len(ready_times)} restarts took over {READY_P90_S:g} s")
+            self.checker.add_violation("ready", f"a tenth of {len(ready_times)} restarts took over {READY_P90_S:g} s")
         for node in self.nodes:
             self.read_log(node)
         found = super().figures()
@@ -330,7 +334,7 @@
         """Reports the faults that a router has logged itself."""
         for line in (self.log_folder / f"node-{node.number}.log").read_text(errors="replace").splitlines():
             if any(f"event={word}" in line for word in ("crashed", "broken", "contained")):
-                self.checker.broke("crash", f"router {node.number}: {line[:400]}")
+                self.checker.add_violation("crash", f"router {node.number}: {line[:400]}")
 
     def run(self) -> dict:
         try:
