--- a/fieldspur/lab/checks/rule_checker.py
+++ b/fieldspur/lab/checks/rule_checker.py
@@ -69,7 +69,7 @@
         if len(self.violations[rule]) < MOST_KEPT:
             self.violations[rule].append(text)
 
-    def kept(self) -> bool:
+    def has_no_violations(self) -> bool:
         return not any(self.violations.values())
 
     # Clients' side.
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -112,7 +112,7 @@
     checker = Checker(2.5)
     checker.sent("c", 1, one())
     checker.answered("c", 1, "rejected", 10 * MS)
-    assert checker.kept()
+    assert checker.has_no_violations()
     checker.answered("c", 1, "rejected", 11 * MS)
     checker.sent("c", 2, one("b"))
     checker.answered("c", 2, "aborted", 2 * SECOND)
@@ -130,7 +130,7 @@
     checker.answered("c", 1, "completed", 510 * MS)
     checker.sent("c", 2, one("b"))
     checker.closed("c", 600 * MS, fault=True)
-    assert checker.kept()
+    assert checker.has_no_violations()
     checker.sent("d", 1, one("e"))
     checker.withdrew("d", 1, 100 * MS)
     checker.answered("d", 1, "completed", 900 * MS)
@@ -174,7 +174,7 @@
     checker.sent("c", 1, one(limit=20 * SECOND))
     checker.told("s", "draining", SECOND)
     checker.hop("s", None, "a", SECOND + 200 * MS)
-    assert checker.kept()
+    assert checker.has_no_violations()
     checker.hop("s", None, "a", SECOND + 400 * MS)
     checker.hop("t", "s", "a", SECOND + 400 * MS)
     assert len(checker.violations[3]) == 2
@@ -187,7 +187,7 @@
     checker = Checker(2.0)
     for n in range(10):
         checker.asked_of_cold("s", 1.0, 300 * MS, n * 400 * MS)
-    assert checker.kept()
+    assert checker.has_no_violations()
     for n in range(10):
         checker.asked_of_cold("t", 1.0, 300 * MS, n * 50 * MS)
     assert checker.violations[4]
@@ -532,6 +532,6 @@
     checker.sent(1, 1, one("a"))
     checker.told("s", "draining", SECOND)
     checker.hop("s", None, "a", 4 * SECOND, first=SECOND + 200 * MS)
-    assert checker.kept()
+    assert checker.has_no_violations()
     checker.hop("s", None, "a", 4 * SECOND, first=SECOND + 500 * MS)
     assert checker.violations[3]
