--- a/fieldspur/lab/checks/invariants.py
+++ b/fieldspur/lab/checks/invariants.py
@@ -86,7 +86,7 @@
     def expired(self, conn, stream: int, at: int) -> None:
         """The client waited for its answer until after it counts as lost."""
         one = self.tries.get((conn, stream))
-        if one is None or one.withdrawn or at < self.asleep.get(conn.router, 0):
+        if one is None or one.withdrawn or at < self.excused_until.get(conn.router, 0):
             return
         self.add_violation(
             "final_answer",
--- a/fieldspur/lab/checks/rule_checker.py
+++ b/fieldspur/lab/checks/rule_checker.py
@@ -62,7 +62,7 @@
         self.counts: Counter = Counter()
         self.lag = 0
         # Routers that a fault stopped: until when what they owe may be late. What was withdrawn is owed no more.
-        self.asleep: dict[int, int] = {}
+        self.excused_until: dict[int, int] = {}
 
     def add_violation(self, rule: int, text: str) -> None:
         self.counts[f"rule_{rule}"] += 1
@@ -87,7 +87,7 @@
         if one is None:
             self.add_violation(1, f"an answer to nobody, or a second one, on stream {stream}")
             return None
-        if at < self.asleep.get(getattr(conn, "router", -1), 0) and not one.withdrawn:
+        if at < self.excused_until.get(getattr(conn, "router", -1), 0) and not one.withdrawn:
             return None
         if one.withdrawn:  # it may cross the withdrawal, no later
             if at - one.withdrawn > SLACK + OWN + self.lag:
--- a/fieldspur/lab/runs/scenario_run.py
+++ b/fieldspur/lab/runs/scenario_run.py
@@ -261,7 +261,7 @@
         for node in self.routers(fault.who):
             resume_at = self.loop.now() + int(fault.lasts * SECOND)
             self.load.gone_until[node.number] = resume_at  # clients do not connect meanwhile
-            self.checker.asleep[node.number] = resume_at + RESUME_GRACE
+            self.checker.excused_until[node.number] = resume_at + RESUME_GRACE
             node.process.send_signal(signal.SIGSTOP)
             self.loop.at(resume_at, lambda node=node: node.process.send_signal(signal.SIGCONT))
 
--- a/fieldspur/lab/soak/node.py
+++ b/fieldspur/lab/soak/node.py
@@ -60,4 +60,4 @@
 
     def is_stopped(self) -> bool:
         """Whether a fault has stopped the process."""
-        return self.world.checker.asleep.get(self.number, 0) > self.world.loop.now()
+        return self.world.checker.excused_until.get(self.number, 0) > self.world.loop.now()
