--- a/fieldspur/lab/checks/invariants.py
+++ b/fieldspur/lab/checks/invariants.py
@@ -130,7 +130,7 @@
 
     # Servers' side.
 
-    def hop(self, server: str, source: str | None, ident: str, at: int, first: int | None = None) -> Hop | None:
+    def hop_arrived(self, server: str, source: str | None, ident: str, at: int, first: int | None = None) -> Hop | None:
         first = at if first is None else first
         router = self.router_of.get(ident, -1)
         states, deaf = self.states, self.deaf_until.get(router, 0)
@@ -140,7 +140,7 @@
                 for name, (state, since) in states.items()
             }
         try:
-            entry = super().hop(server, source, ident, at, first)
+            entry = super().hop_arrived(server, source, ident, at, first)
         finally:
             self.states = states
         one = self.by_ident.get(ident)
@@ -168,7 +168,7 @@
                 "one_attempt", f"request {ident}: at {entry.server} while its attempt at {other.server} is out, {both // MS} ms"
             )
 
-    def passed_on(self, ident: str, limit_ms: int, first: int) -> None:
+    def limit_passed_on(self, ident: str, limit_ms: int, first: int) -> None:
         one = self.by_ident.get(ident)
         if one is None:
             return
@@ -178,7 +178,7 @@
                 "deadline", f"request {ident}: a limit of {limit_ms} ms passed on where its client has {left_ms:.0f} ms left"
             )
 
-    def worked(self, work: int) -> None:
+    def count_work(self, work: int) -> None:
         """A request of so much work came to a server."""
         self.mean_work += (work - self.mean_work) * LEARN
 
@@ -186,7 +186,7 @@
         self.told_starts[name] = at
         self.cold.pop(name, None)
 
-    def asked_of_cold(self, name: str, able: float, work: int, at: int) -> None:
+    def slow_start_work(self, name: str, able: float, work: int, at: int) -> None:
         if at < self.told_starts.get(name, 0) + TOLD_GRACE + self.lag:
             return  # not all may know of the start yet
         rows = self.cold.setdefault(name, deque())
--- a/fieldspur/lab/checks/rule_checker.py
+++ b/fieldspur/lab/checks/rule_checker.py
@@ -148,11 +148,11 @@
 
     # Servers' side.
 
-    def told(self, name: str, state: str, at: int) -> None:
+    def state_announced(self, name: str, state: str, at: int) -> None:
         if self.states.get(name, ("", 0))[0] != state:
             self.states[name] = (state, at)
 
-    def hop(self, server: str, source: str | None, ident: str, at: int, first: int | None = None) -> Hop | None:
+    def hop_arrived(self, server: str, source: str | None, ident: str, at: int, first: int | None = None) -> Hop | None:
         """A hop came to a server, its first byte written at `first` (without it, then too); the entry given back is
         told of its end. Drains bind first bytes: what began in time may come late."""
         self.counts["hops"] += 1
@@ -173,16 +173,16 @@
         one.hops.append(Hop(at, first))
         return one.hops[-1]
 
-    def passed_on(self, ident: str, limit_ms: int, first: int) -> None:
+    def limit_passed_on(self, ident: str, limit_ms: int, first: int) -> None:
         """A server was told of that time limit, its request's first byte written at `first`."""
 
-    def worked(self, work: int) -> None:
+    def count_work(self, work: int) -> None:
         """A request of so much work came to a server."""
 
     def started(self, name: str, at: int) -> None:
         """The start of a server in slow start is told from now on."""
 
-    def asked_of_cold(self, name: str, able: float, work: int, at: int) -> None:
+    def slow_start_work(self, name: str, able: float, work: int, at: int) -> None:
         """So much was asked of a cold server, that now does `able` transfers at full pace; work in ns of one."""
         rows = self.cold.setdefault(name, deque())
         rows.append((at, work))
--- a/fieldspur/lab/checks/work_order_checker.py
+++ b/fieldspur/lab/checks/work_order_checker.py
@@ -65,7 +65,7 @@
                 continue
             self.states[order.ident] = order.state
             self.steps.append((now, order.machine, order.state, order.ident))
-            self.checker.told(order.machine, TOLD.get(order.state, "up"), now)
+            self.checker.state_announced(order.machine, TOLD.get(order.state, "up"), now)
             if order.state == work_orders.FREE:
                 if still := self.open_at(order.machine):
                     self.add_violation(f"{order.machine} was said to be free with {len(still)} open there, {still[0]}")
@@ -75,7 +75,7 @@
                 self.states[ended.ident] = ended.how
                 self.steps.append((now, ended.machine, ended.how, ended.ident))
                 if ended.how != work_orders.REFUSED:
-                    self.checker.told(ended.machine, "up", now)
+                    self.checker.state_announced(ended.machine, "up", now)
         away = found.machines_in(work_orders.AWAY)
         if len(away) > self.most:
             self.add_violation(f"{len(away)} machines away, {self.most} allowed: {', '.join(sorted(away))}")
--- a/fieldspur/lab/emulate/servers.py
+++ b/fieldspur/lab/emulate/servers.py
@@ -77,8 +77,8 @@
     def want(self, conn: Conn, ident: str, text: str, first: int) -> None:
         world, now = self.world, self.world.loop.now()
         fields = dict(pair.split("=", 1) for pair in text.split(","))
-        entry = world.checker.hop(self.model.name, fields.get("miss"), ident, now, first)
-        world.checker.passed_on(ident, int(fields["limit"]), first)
+        entry = world.checker.hop_arrived(self.model.name, fields.get("miss"), ident, now, first)
+        world.checker.limit_passed_on(ident, int(fields["limit"]), first)
         rule, obj, part = fields["cls"], fields["item"], int(fields["chunk"])
         flags = fields.get("f", "").split("+")
         source = world.models.get(fields["miss"]) if "miss" in fields else None
@@ -119,7 +119,7 @@
         self.open[conn, ident] = asked
         if entry is not None:
             self.entries[conn, ident] = entry
-        world.checker.worked(self.model.transfer_time(asked.kb))
+        world.checker.count_work(self.model.transfer_time(asked.kb))
         self.model.receive(asked)
 
     def spoil(self, data: bytes) -> bytes:
@@ -256,7 +256,7 @@
         return min(230_000, int(self.kb_of(rule, obj, part) * self.byte_rate[rule]))
 
     def offered(self, server: Server, work: int) -> None:
-        self.checker.asked_of_cold(server.name, server.current_rating(), work, self.loop.now())
+        self.checker.slow_start_work(server.name, server.current_rating(), work, self.loop.now())
 
     def announce(self, names: list[str], status: str) -> None:
         self.announce_rows([self.row(name, status) for name in names], status)
@@ -265,7 +265,7 @@
         """Discovery tells of these endpoints, which are all in that state."""
         now = self.loop.now()
         for row in rows:
-            self.checker.told(row["name"], status, now)
+            self.checker.state_announced(row["name"], status, now)
         self.discovery.publish({"pool": {"index": 1, "snapshot": False, "endpoints": rows}})
 
     def take_down(self, name: str) -> None:
--- a/fieldspur/lab/runs/simulation.py
+++ b/fieldspur/lab/runs/simulation.py
@@ -137,7 +137,7 @@
             if not model.up:
                 hop.finished = True
                 return self.hop_ended(ident, number, "unreachable", sent_at)
-            entry.append(world.checker.hop(server, source if source != server else None, name, self.clock.time))
+            entry.append(world.checker.hop_arrived(server, source if source != server else None, name, self.clock.time))
             world.open_hops[server].add((self, ident, number))
             model.receive(hop)
 
@@ -267,7 +267,7 @@
     def announce(self, names: list[str], state: str) -> None:
         now = self.clock.time
         for name in names:
-            self.checker.told(name, state, now)
+            self.checker.state_announced(name, state, now)
         states = dict.fromkeys(names, state)
         for host in self.hosts:
             affected = [name for name in names if self.models[name].kind != "std" or self.models[name].zone == host.zone]
@@ -278,7 +278,7 @@
                 )
 
     def offered(self, server: Server, work: int) -> None:
-        self.checker.asked_of_cold(server.name, server.current_rating(), work, self.clock.time)
+        self.checker.slow_start_work(server.name, server.current_rating(), work, self.clock.time)
 
     def take_down(self, name: str) -> None:
         self.models[name].die()
@@ -311,7 +311,7 @@
             )
 
     def arrive(self, txn_class, objects, due: int) -> None:
-        self.send(self.outcomes.made(txn_class, objects, due, self.kb_of))
+        self.send(self.outcomes.create_txn(txn_class, objects, due, self.kb_of))
 
     def send(self, txn: Txn) -> None:
         now = self.clock.time
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -153,8 +153,8 @@
 def test_a_further_hop_breaks_the_second_rule_only_where_an_effect_may_happen_twice(kind, first, after, broke):
     checker = Checker(2.5)
     checker.sent("c", 1, one(kind=kind, limit=20 * SECOND))
-    checker.hop("s", None, "a", 0).end = first
-    checker.hop("s", None, "a", after)
+    checker.hop_arrived("s", None, "a", 0).end = first
+    checker.hop_arrived("s", None, "a", after)
     assert bool(checker.violations[2]) == broke
 
 
@@ -172,24 +172,24 @@
 def test_hops_and_sources_count_against_a_drain_only_after_the_grace():
     checker = Checker(2.5)
     checker.sent("c", 1, one(limit=20 * SECOND))
-    checker.told("s", "draining", SECOND)
-    checker.hop("s", None, "a", SECOND + 200 * MS)
+    checker.state_announced("s", "draining", SECOND)
+    checker.hop_arrived("s", None, "a", SECOND + 200 * MS)
     assert checker.has_no_violations()
-    checker.hop("s", None, "a", SECOND + 400 * MS)
-    checker.hop("t", "s", "a", SECOND + 400 * MS)
+    checker.hop_arrived("s", None, "a", SECOND + 400 * MS)
+    checker.hop_arrived("t", "s", "a", SECOND + 400 * MS)
     assert len(checker.violations[3]) == 2
-    checker.told("s", "up", 2 * SECOND)
-    checker.hop("s", None, "a", 3 * SECOND)
+    checker.state_announced("s", "up", 2 * SECOND)
+    checker.hop_arrived("s", None, "a", 3 * SECOND)
     assert len(checker.violations[3]) == 2
 
 
 def test_what_a_cold_server_is_asked_for_counts_over_a_second():
     checker = Checker(2.0)
     for n in range(10):
-        checker.asked_of_cold("s", 1.0, 300 * MS, n * 400 * MS)
+        checker.slow_start_work("s", 1.0, 300 * MS, n * 400 * MS)
     assert checker.has_no_violations()
     for n in range(10):
-        checker.asked_of_cold("t", 1.0, 300 * MS, n * 50 * MS)
+        checker.slow_start_work("t", 1.0, 300 * MS, n * 50 * MS)
     assert checker.violations[4]
 
 
@@ -530,8 +530,8 @@
 def test_a_drain_binds_the_first_byte_and_not_the_last():
     checker = Checker(2.0)
     checker.sent(1, 1, one("a"))
-    checker.told("s", "draining", SECOND)
-    checker.hop("s", None, "a", 4 * SECOND, first=SECOND + 200 * MS)
+    checker.state_announced("s", "draining", SECOND)
+    checker.hop_arrived("s", None, "a", 4 * SECOND, first=SECOND + 200 * MS)
     assert checker.has_no_violations()
-    checker.hop("s", None, "a", 4 * SECOND, first=SECOND + 500 * MS)
+    checker.hop_arrived("s", None, "a", 4 * SECOND, first=SECOND + 500 * MS)
     assert checker.violations[3]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -57,7 +57,7 @@
         found.mean_work = 10 * MS
         found.started("c0", 0)
         for n in range(calls):  # twice 0.08 transfers at full pace are 16 calls of 10 ms a second
-            found.asked_of_cold("c0", 0.08, 10 * MS, SECOND + n)
+            found.slow_start_work("c0", 0.08, 10 * MS, SECOND + n)
         assert (broken(found) == set()) == whole
 
 
@@ -65,7 +65,7 @@
 def test_a_limit_passed_on_is_held_against_what_the_client_has_left(left_ms, passed_on, whole):
     found = invariants()
     sent(found, limit=left_ms * MS)
-    found.passed_on("a", passed_on, SECOND)
+    found.limit_passed_on("a", passed_on, SECOND)
     assert broken(found) == (set() if whole else {"deadline"})
 
 
@@ -74,7 +74,7 @@
     found = invariants(stall_ms * MS)
     conn = sent(found)
     found.withdrew(conn, 1, SECOND)
-    found.hop("c0", None, "a", SECOND + after_ms * MS)
+    found.hop_arrived("c0", None, "a", SECOND + after_ms * MS)
     assert broken(found) == (set() if whole else {"departed_client"})
 
 
@@ -82,8 +82,8 @@
 def test_two_attempts_that_are_out_at_once_are_named(ends_ms, whole):
     found = invariants()
     sent(found)
-    first = found.hop("c0", None, "a", SECOND)
-    found.hop("c1", None, "a", SECOND + 5 * MS)
+    first = found.hop_arrived("c0", None, "a", SECOND)
+    found.hop_arrived("c1", None, "a", SECOND + 5 * MS)
     first.end, first.ended_at = "GIVEN_UP", SECOND + ends_ms * MS
     for timer in found.timers:
         timer()
