--- a/fieldspur/lab/checks/outcomes.py
+++ b/fieldspur/lab/checks/outcomes.py
@@ -1,4 +1,4 @@
-"""What was due and what became of it, by class and over time: one account for sockets and simulated time."""
+"""Counts txns and their results by class and over time, for runs on sockets and in simulated time alike."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from fieldspur.lab import catalog
 from fieldspur.lab.checks.rule_checker import SECOND
 
-TICK = SECOND // 2  # of the curves
-QUANTILES = ("50", 50), ("99", 99), ("999", 99.9)
+TICK = SECOND // 2  # interval between the points of a curve, in ns
+QUANTILES = ("50", 50), ("99", 99), ("999", 99.9)  # name in the figures, percentile
 
 
 @dataclass(slots=True, eq=False)
@@ -27,43 +27,43 @@
     key: str | None
     due: int
     limit_at: int
-    left: int  # tries
-    counts: bool  # after the warm-up
+    left: int  # tries that the client may still make
+    counts: bool  # due after the warm-up, so it counts in the figures
     ended: str = ""
 
 
 @dataclass(slots=True)
 class Tick:
-    """What was due in one span of the curves, and what became of it."""
+    """Txns due in one interval of the curves, and their results."""
 
     due: int = 0
-    worth: float = 0.0  # importance that was due
-    earned: float = 0.0
-    words: Counter = field(default_factory=Counter)
+    worth: float = 0.0  # importance of the txns that were due
+    earned: float = 0.0  # importance of those answered in time; late answers count in part
+    results: Counter = field(default_factory=Counter)
 
 
 class Outcomes:
-    """Makes txns as they are due and takes their ends; times are Unix ns and count from when a txn was due."""
+    """Creates txns when they are due and counts their results. Times are Unix ns; response times count from the due time."""
 
     def __init__(self, plan, begin: int, chance: random.Random):
         self.begin, self.random = begin, chance
-        self.from_at, self.ends = begin + int(plan.warm * SECOND), begin + int(plan.seconds * SECOND)
+        self.counted_from, self.ends = begin + int(plan.warm * SECOND), begin + int(plan.seconds * SECOND)
         self.ticks: dict[int, Tick] = {}
-        self.times = {row.rule: HdrHistogram(1, 60_000_000, 3) for row in plan.load.classes}
-        self.words = {row.rule: Counter() for row in plan.load.classes}
-        self.worth: dict[str, list[float]] = {row.rule: [0.0, 0.0] for row in plan.load.classes}
+        self.response_times = {row.rule: HdrHistogram(1, 60_000_000, 3) for row in plan.load.classes}
+        self.results = {row.rule: Counter() for row in plan.load.classes}
+        self.worth: dict[str, list[float]] = {row.rule: [0.0, 0.0] for row in plan.load.classes}  # due, earned
         self.open = self.tried = 0
 
     def tick(self, due: int) -> Tick:
         return self.ticks.setdefault((due - self.begin) // TICK, Tick())
 
-    def made(self, row, objects: catalog.Popular, due: int, kb_of) -> Txn:
+    def create_txn(self, row, objects: catalog.Popular, due: int, kb_of) -> Txn:
         obj, part = objects.draw()
-        about, kind = catalog.BY_RULE[row.rule], catalog.kind(row.rule)
+        class_settings, kind = catalog.BY_RULE[row.rule], catalog.kind(row.rule)
         self.open += 1
         tick = self.tick(due)
         tick.due += 1
-        tick.worth += about["worth"]
+        tick.worth += class_settings["worth"]
         return Txn(
             row.rule,
             kind,
@@ -72,55 +72,55 @@
             kb_of(row.rule, obj, part),
             f"{self.random.getrandbits(128):032x}" if kind == "keyed" else None,
             due,
-            due + about["hardLimitUs"] * 1000,
+            due + class_settings["hardLimitUs"] * 1000,
             row.tries,
-            due >= self.from_at,
+            due >= self.counted_from,
         )
 
-    def ended(self, txn: Txn, word: str, now: int) -> None:
-        """The first end counts."""
+    def ended(self, txn: Txn, result: str, now: int) -> None:
+        """Counts the result of a txn; only the first one counts."""
         if txn.ended:
             return
-        txn.ended = word
+        txn.ended = result
         self.open -= 1
-        took, about, share = now - txn.due, catalog.BY_RULE[txn.rule], 0.0
-        if word == "completed":
-            sla = about["aimUs"] * 1000 + about.get("aimStretch", 0.0) * txn.kb / catalog.KB_PER_S * SECOND
-            share = 1.0 if took <= sla else about["lateWorth"]
+        took, class_settings, share = now - txn.due, catalog.BY_RULE[txn.rule], 0.0
+        if result == "completed":
+            sla = class_settings["aimUs"] * 1000 + class_settings.get("aimStretch", 0.0) * txn.kb / catalog.KB_PER_S * SECOND
+            share = 1.0 if took <= sla else class_settings["lateWorth"]
         tick = self.tick(txn.due)
-        tick.earned += share * about["worth"]
-        tick.words[word] += 1
+        tick.earned += share * class_settings["worth"]
+        tick.results[result] += 1
         if txn.counts:
-            self.words[txn.rule][word] += 1
-            self.worth[txn.rule][0] += about["worth"]
-            self.worth[txn.rule][1] += share * about["worth"]
-            if word == "completed":
-                self.times[txn.rule].record_value(max(1, took // 1000))
+            self.results[txn.rule][result] += 1
+            self.worth[txn.rule][0] += class_settings["worth"]
+            self.worth[txn.rule][1] += share * class_settings["worth"]
+            if result == "completed":
+                self.response_times[txn.rule].record_value(max(1, took // 1000))
 
     def figures(self, store) -> dict:
         """Shares, times and fills of the whole run, and the curve by ticks."""
         classes = {}
-        for rule, words in self.words.items():
+        for rule, results in self.results.items():
             due, earned = self.worth[rule]
             classes[rule] = {
-                "txns": sum(words.values()),
-                **{word: words[word] for word in sorted(words)},
+                "txns": sum(results.values()),
+                **{result: results[result] for result in sorted(results)},
                 "worth": round(earned / due, 4) if due else None,
-                **{f"p{name}_ms": round(self.times[rule].get_value_at_percentile(q) / 1000, 1) for name, q in QUANTILES},
+                **{f"p{name}_ms": round(self.response_times[rule].get_value_at_percentile(q) / 1000, 1) for name, q in QUANTILES},
             }
         txns = sum(row["txns"] for row in classes.values())
         completed = sum(row.get("completed", 0) for row in classes.values())
-        due, earned = (sum(pair[at] for pair in self.worth.values()) for at in (0, 1))
+        due, earned = (sum(pair[index] for pair in self.worth.values()) for index in (0, 1))
         ticks = [
             {
                 "second": tick * TICK / SECOND,
                 "due": row.due,
                 "worth": round(row.earned / row.worth, 3) if row.worth else 0,
-                **dict(row.words),
+                **dict(row.results),
             }
             for tick, row in sorted(self.ticks.items())
         ]
-        begun = self.begin // SECOND
+        begin_second = self.begin // SECOND
         return {
             "txns": txns,
             "tries": self.tried,
@@ -131,5 +131,5 @@
             "fills_a_txn": round(store.counts["fills"] / max(1, txns), 4),
             "most_fills_a_second": max(store.fills_by_second.values(), default=0),
             "ticks": ticks,
-            "fills_by_second": {str(second - begun): count for second, count in sorted(store.fills_by_second.items())},
+            "fills_by_second": {str(second - begin_second): count for second, count in sorted(store.fills_by_second.items())},
         }
--- a/fieldspur/lab/runs/load_generator.py
+++ b/fieldspur/lab/runs/load_generator.py
@@ -131,7 +131,7 @@
             self.loop.at(due, lambda: (self.arrive(txn_class, objects, due), self.plan_next(txn_class, objects, arrivals, second)))
 
     def arrive(self, txn_class, objects, due: int) -> None:
-        self.send(self.outcomes.made(txn_class, objects, due, self.kb_of))
+        self.send(self.outcomes.create_txn(txn_class, objects, due, self.kb_of))
 
     def is_unavailable(self, router: int) -> bool:
         return self.loop.now() < self.gone_until[router]
--- a/fieldspur/lab/soak/clients.py
+++ b/fieldspur/lab/soak/clients.py
@@ -99,7 +99,7 @@
 
     def make_txn(self, txn_class, objects, due: int) -> Txn:
         """A new txn, with the time limit that the soak or a client in a hurry sets."""
-        txn = self.outcomes.made(txn_class, objects, due, self.kb_of)
+        txn = self.outcomes.create_txn(txn_class, objects, due, self.kb_of)
         if self.plan.load.deadline_s:
             txn.limit_at = min(txn.limit_at, due + int(self.plan.load.deadline_s * SECOND))
         if self.chance.random() < self.plan.load.hurried:
