--- a/fieldspur/lab/checks/rule_checker.py
+++ b/fieldspur/lab/checks/rule_checker.py
@@ -14,7 +14,7 @@
 MS = 1_000_000  # nanoseconds
 SECOND = 1_000_000_000  # nanoseconds
 SLACK = 50 * MS  # the protocol allows answers this long after the time limit
-LAB_DELAY = 60 * MS  # a txn's time in this process, which emulates clients and servers in client_try thread
+LAB_DELAY = 60 * MS  # a txn's time in this process, which emulates clients and servers in one thread
 DRAIN_GRACE = 250 * MS
 PURGE_GRACE = 500 * MS
 NEVER_RAN = ("NOENT", "AGAIN", "STALE")  # statuses of answers to hops that had no effect
@@ -50,7 +50,7 @@
 
 
 class Checker:
-    """Checks the rules for client_try run. `lag` is how late this process itself may be; each time check adds it."""
+    """Checks the rules for one run. `lag` is how late this process itself may be; each time check adds it."""
 
     def __init__(self, fall_multiple: float, repeat_window: int = 6 * SECOND, routers: int = 1):
         self.fall_multiple, self.repeat_window, self.routers = fall_multiple, repeat_window, routers
