--- a/fieldspur/lab/soak/plan.py
+++ b/fieldspur/lab/soak/plan.py
@@ -1,4 +1,4 @@
-"""From a seed to a scenario: sizes of the fleet and its load, and troubles of which two or three overlap at each time."""
+"""Draws the scenario of a soak from a seed: the size of the fleet, its load, and faults of which two or three overlap at any time."""
 
 from __future__ import annotations
 
@@ -9,20 +9,22 @@
 
 from fieldspur.lab.runs.scenario import Class, Fault, Load, Scenario, Servers
 
-FIRST_AT, WINDOW_S, QUIET_S = 4.0, 5.0, 4.0  # s: the first troubles; how long a window of them is; none at the end
-KINDS = 8  # of trouble in one seed, drawn from all; few, so that the same ones meet in several ways
-SPREAD_S = 1.5  # the troubles of a window begin within so long of each other
-CLOCK_STEPS = (-3600.0, -30.0, -3.0, 3.0, 30.0, 3600.0)
+FIRST_FAULT_S = 4.0  # second of the first faults
+WINDOW_S = 5.0  # faults are drawn for one window of this length after another
+QUIET_S = 4.0  # at the end of the run, without new faults
+KINDS_PER_SEED = 8  # kinds of faults drawn for a seed; few, so that the same kinds overlap in several ways
+SPREAD_S = 1.5  # the faults of a window begin within this time
+CLOCK_STEPS_S = (-3600.0, -30.0, -3.0, 3.0, 30.0, 3600.0)
 
 
 @dataclass(frozen=True)
 class Trouble:
-    """One kind of trouble: what happens, to whom, for how long, how strongly."""
+    """One kind of fault: what happens, to which servers or routers, for how long and how strongly, and how often it is drawn."""
 
     what: str
     who: str  # "cache", "parent", "caches", "parents", "few" routers, "routers" (some), "router" (one), "all" or ""
-    lasts: tuple[float, float]
-    times: tuple[float, float] = (10.0, 10.0)
+    lasts: tuple[float, float]  # least and greatest duration in seconds
+    times: tuple[float, float] = (10.0, 10.0)  # least and greatest strength, in the unit of `Fault.times`
     weight: float = 1.0
 
 
@@ -63,7 +65,7 @@
     Trouble("late_dials", "all", (2.0, 5.0), (100, 350), weight=2),
 )
 
-# Drawn by a chance of their own, so that what a seed drew of the others stays: they came after the incident of issue 40.
+# Added after the incident of issue 40. They have a random generator of their own, so that a seed draws the same TROUBLES as before.
 LATER_TROUBLES = (
     Trouble("mass_crash", "caches", (0.2, 2.0), (50, 200), weight=4),
     Trouble("mass_crash", "parents", (0.2, 1.5), (50, 200)),
@@ -71,30 +73,32 @@
     Trouble("list_flaps", "parents", (0.5, 1.5)),
     Trouble("crowd", "few", (2.0, 5.0), (60, 160), weight=2),
 )
-# Drawn by a further chance of their own, for the same reason: names that never come again (issue 44).
+# Names that are used only once (issue 44), with a further random generator for the same reason.
 NEWEST_TROUBLES = (Trouble("new_names", "", (2.0, 5.0), (20, 100)),)
-NEWEST_SHARE = 0.3  # of the windows that have one
-LATER_SHARE = 0.6  # of the windows that have one of them
-DEADLINES = (0.0, 0.0, 1.0, 1.5, 2.0)  # s: most that a request has; 0: what the settings say
-STAYS = (0.0, 0.3, 0.7)  # shares of connections that are used until their router is killed
-MOST_CROWDED = 3  # routers at a time
+NEWEST_SHARE = 0.3  # share of windows that have one of NEWEST_TROUBLES
+LATER_SHARE = 0.6  # share of windows that have some of LATER_TROUBLES
+DEADLINES = (0.0, 0.0, 1.0, 1.5, 2.0)  # s: the greatest time limit of a request; 0: as the settings say
+STAYS = (0.0, 0.3, 0.7)  # shares of connections that clients use until the router has ended or is killed
+MAX_CROWDED_ROUTERS = 3  # whose file descriptors idle clients use up at the same time
 
 
 def fault(chance: random.Random, trouble: Trouble, at: float, routers: int, servers: Servers) -> Fault:
-    """The trouble as a fault of a scenario."""
-    some = ",".join(map(str, sorted(chance.sample(range(routers), chance.randint(1, max(1, routers // 2))))))
-    few = ",".join(map(str, sorted(chance.sample(range(routers), min(routers, MOST_CROWDED))))) if trouble.who == "few" else ""
+    """Draws a fault of a scenario of the given kind."""
+    some_routers = ",".join(map(str, sorted(chance.sample(range(routers), chance.randint(1, max(1, routers // 2))))))
+    few_routers = (
+        ",".join(map(str, sorted(chance.sample(range(routers), min(routers, MAX_CROWDED_ROUTERS))))) if trouble.who == "few" else ""
+    )
     who = {
         "cache": f"cache-{chance.randrange(servers.caches)}",
         "parent": f"parent-{chance.randrange(servers.parents)}",
         "caches": "caches",
         "parents": "parents",
-        "few": few,
-        "routers": some,
+        "few": few_routers,
+        "routers": some_routers,
         "router": str(chance.randrange(routers)),
         "all": ",".join(map(str, range(routers))),
     }.get(trouble.who, "")
-    times = chance.choice(CLOCK_STEPS) if trouble.what == "clock_step" else round(chance.uniform(*trouble.times), 1)
+    times = chance.choice(CLOCK_STEPS_S) if trouble.what == "clock_step" else round(chance.uniform(*trouble.times), 1)
     return Fault(
         at=round(at, 2),
         what=trouble.what,
@@ -107,19 +111,23 @@
 
 
 def later_faults(chance: random.Random, seconds: float, routers: int, servers: Servers) -> list[Fault]:
-    """Of LATER_TROUBLES, one or two in most windows."""
-    found, at = [], FIRST_AT
+    """Draws one or two of LATER_TROUBLES in most windows."""
+    faults, at = [], FIRST_FAULT_S
     while at < seconds - QUIET_S:
         drawn = chance.choices(LATER_TROUBLES, [trouble.weight for trouble in LATER_TROUBLES], k=chance.choice((1, 1, 2)))
         if chance.random() < LATER_SHARE:
-            found += [fault(chance, trouble, at + chance.uniform(0, SPREAD_S), routers, servers) for trouble in drawn]
+            faults += [fault(chance, trouble, at + chance.uniform(0, SPREAD_S), routers, servers) for trouble in drawn]
         at += WINDOW_S
-    return found
+    return faults
 
 
 def newest_faults(chance: random.Random, seconds: float, routers: int, servers: Servers) -> list[Fault]:
-    """Of NEWEST_TROUBLES, one in some windows."""
-    starts = [FIRST_AT + WINDOW_S * n for n in range(int((seconds - QUIET_S - FIRST_AT) / WINDOW_S + 1)) if seconds - QUIET_S > FIRST_AT]
+    """Draws one of NEWEST_TROUBLES in some windows."""
+    starts = [
+        FIRST_FAULT_S + WINDOW_S * window
+        for window in range(int((seconds - QUIET_S - FIRST_FAULT_S) / WINDOW_S + 1))
+        if seconds - QUIET_S > FIRST_FAULT_S
+    ]
     return [
         fault(chance, chance.choice(NEWEST_TROUBLES), at + chance.uniform(0, SPREAD_S), routers, servers)
         for at in starts
@@ -128,10 +136,10 @@
 
 
 def plan(seed: int, seconds: float, routers: int | None = None) -> Scenario:
-    """What the soak plays with this seed; alike each time."""
+    """The scenario of a seed. The same arguments always give the same scenario."""
     chance = random.Random(f"soak {seed}")
-    drawn = chance.choice((10, 10, 12, 14, 16, 20, 24, 32))
-    routers = routers or drawn
+    drawn_routers = chance.choice((10, 10, 12, 14, 16, 20, 24, 32))
+    routers = routers or drawn_routers
     servers = Servers(
         caches=chance.randint(4, 9),
         parents=chance.randint(1, 3),
@@ -155,17 +163,17 @@
         hang_ups=chance.choice((0.0, 0.5, 3.0)),
         churn=chance.choice((0.0, 0.2, 0.5)),
     )
-    faults, at = [], FIRST_AT
-    kinds = list(dict.fromkeys(chance.choices(TROUBLES, [trouble.weight for trouble in TROUBLES], k=KINDS)))
+    faults, at = [], FIRST_FAULT_S
+    kinds = list(dict.fromkeys(chance.choices(TROUBLES, [trouble.weight for trouble in TROUBLES], k=KINDS_PER_SEED)))
     while at < seconds - QUIET_S:
         for trouble in chance.sample(kinds, min(len(kinds), chance.choice((2, 3, 3, 4)))):
             faults.append(fault(chance, trouble, at + chance.uniform(0, SPREAD_S), routers, servers))
         at += WINDOW_S
-    later = random.Random(f"soak later {seed}")
-    faults += later_faults(later, seconds, routers, servers)
+    later_chance = random.Random(f"soak later {seed}")
+    faults += later_faults(later_chance, seconds, routers, servers)
     faults += newest_faults(random.Random(f"soak newest {seed}"), seconds, routers, servers)
-    load = msgspec.structs.replace(load, deadline_s=later.choice(DEADLINES), stays=later.choice(STAYS))
-    faults = [one for one in faults if one.at < seconds - QUIET_S + SPREAD_S]
+    load = msgspec.structs.replace(load, deadline_s=later_chance.choice(DEADLINES), stays=later_chance.choice(STAYS))
+    faults = [drawn_fault for drawn_fault in faults if drawn_fault.at < seconds - QUIET_S + SPREAD_S]
     return Scenario(
         name="soak",
         about="random troubles that overlap",
@@ -177,5 +185,5 @@
         sockets=256,
         servers=servers,
         load=load,
-        faults=tuple(sorted(faults, key=lambda one: one.at)),
+        faults=tuple(sorted(faults, key=lambda drawn_fault: drawn_fault.at)),
     )
--- a/fieldspur/lab/soak/shim.py
+++ b/fieldspur/lab/soak/shim.py
@@ -10,13 +10,21 @@
 from pathlib import Path
 
 SOURCE = Path(__file__).with_name("shim.c")
-HEAD = struct.Struct("=qQ")  # clock offset, seed
-RATES = ("accept", "socket", "connect", "eintr", "shorten", "broken", "disk")  # per 1000 calls, in the shim's order
-FIELD = struct.Struct("=I")
-DIAL_AT = HEAD.size + FIELD.size * len(RATES)
-FIRED_AT = DIAL_AT + FIELD.size
-COUNTED = (*RATES, "dial")
-CALLS = {  # faults of a scenario, and the rate that each sets
+HEAD = struct.Struct("=qQ")  # the control block begins with the clock offset in ns and the seed
+RATES = (
+    "accept",
+    "socket",
+    "connect",
+    "eintr",
+    "shorten",
+    "broken",
+    "disk",
+)  # system calls that can fail, in the order of the control block; each rate is per 1000 calls
+FIELD = struct.Struct("=I")  # each further field of the control block
+DIAL_DELAY_OFFSET = HEAD.size + FIELD.size * len(RATES)
+COUNTERS_OFFSET = DIAL_DELAY_OFFSET + FIELD.size
+COUNTED = (*RATES, "dial")  # the counters of failed calls, in the order of the control block; "dial" counts delayed connects
+CALLS = {  # by fault of a scenario: the rate that the fault sets
     "accept_fails": "accept",
     "socket_fails": "socket",
     "connect_fails": "connect",
@@ -25,7 +33,7 @@
     "broken_io": "broken",
     "disk_fails": "disk",
 }
-SIZE = FIRED_AT + FIELD.size * len(COUNTED) + 64
+SIZE = COUNTERS_OFFSET + FIELD.size * len(COUNTED) + 64
 
 
 class NoCompiler(Exception):
@@ -33,18 +41,20 @@
 
 
 def build(folder: Path) -> Path:
-    """The shim as a shared library in `folder`."""
+    """Compiles the shim to a shared library in `folder`."""
     compiler, library = shutil.which("cc") or shutil.which("gcc"), folder / "shim.so"
     if compiler is None:
         raise NoCompiler("the fault shim needs a C compiler (cc), and there is none")
-    done = subprocess.run([compiler, "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"], capture_output=True, text=True)
-    if done.returncode:
-        raise NoCompiler(f"the fault shim can't be built: {done.stderr.strip()[:300]}")
+    compilation = subprocess.run(
+        [compiler, "-O2", "-shared", "-fPIC", "-o", str(library), str(SOURCE), "-ldl"], capture_output=True, text=True
+    )
+    if compilation.returncode:
+        raise NoCompiler(f"the fault shim can't be built: {compilation.stderr.strip()[:300]}")
     return library
 
 
 class Shim:
-    """The control block of one process, kept over its restarts."""
+    """The control block of one router process, which stays over restarts of the process."""
 
     def __init__(self, folder: Path, library: Path, number: int, seed: int):
         self.path = folder / f"shim-{number}"
@@ -54,18 +64,20 @@
         self.env = {"LD_PRELOAD": str(library), "FIELDSPUR_SHIM": str(self.path)}
 
     def step_clock(self, seconds: float) -> None:
-        """The process' wall clock is so far from the machine's, from now on."""
+        """Sets the difference of the process' wall clock from the machine's."""
         struct.pack_into("=q", self.block, 0, int(seconds * 1e9))
 
     def rate(self, name: str, per_thousand: int) -> None:
+        """Sets how many of 1000 system calls of one kind fail."""
         FIELD.pack_into(self.block, HEAD.size + FIELD.size * RATES.index(name), per_thousand)
 
-    def dial_delay(self, most_ms: int) -> None:
-        FIELD.pack_into(self.block, DIAL_AT, most_ms)
+    def dial_delay(self, max_ms: int) -> None:
+        """Sets the greatest random delay of a connect."""
+        FIELD.pack_into(self.block, DIAL_DELAY_OFFSET, max_ms)
 
     def fired(self) -> dict[str, int]:
-        """How often each fault happened."""
-        return {name: FIELD.unpack_from(self.block, FIRED_AT + FIELD.size * n)[0] for n, name in enumerate(COUNTED)}
+        """How often each kind of system call has failed."""
+        return {name: FIELD.unpack_from(self.block, COUNTERS_OFFSET + FIELD.size * index)[0] for index, name in enumerate(COUNTED)}
 
     def close(self) -> None:
         self.block.close()
--- a/fieldspur/lab/soak/world.py
+++ b/fieldspur/lab/soak/world.py
@@ -1,4 +1,4 @@
-"""Servers behind fault proxies, crashed and listed as the soak's troubles want it."""
+"""Servers behind fault proxies, with the soak's faults of the network, of discovery and of many servers at once."""
 
 from __future__ import annotations
 
@@ -12,21 +12,22 @@
 from fieldspur.lab.emulate.server_model import MS, SECOND
 from fieldspur.lab.emulate.servers import ServerFrontend, World
 
-CRASH_SPREAD, REMOVAL_SPREAD = 10 * MS, 60 * MS
-FLAP = 10, 30  # ms between two words of discovery about a server
+CRASH_SPREAD = 10 * MS  # the servers of a mass crash go down within this time
+REMOVAL_SPREAD = 60 * MS  # discovery removes crashed servers one by one within this time
+FLAP_INTERVAL_MS = 10, 30  # least and greatest time between two list changes of a flapping server
 
 
 class SoakWorld(World):
-    """Servers behind fault proxies, which read what routers write also while a server reads nothing."""
+    """Servers behind fault proxies, which read what routers write even while a server reads nothing."""
 
     SUPPORTED_FAULTS = World.SUPPORTED_FAULTS | {"net_delay", "net_pieces", "net_cut", "net_stall", "mass_crash", "list_flaps", "new_names"}
     tracks_sent_bytes = True
 
-    def __init__(self, *about):
+    def __init__(self, *args):
         self.proxies: dict[str, Proxy] = {}
-        self.passing = itertools.count(1 << 60)  # numbers of names that never come again
-        self.origins: dict[int, Conn] = {}  # connections of routers, by the local port of the one made for each
-        super().__init__(*about)
+        self.new_name_numbers = itertools.count(1 << 60)  # numbers for names that are used only once
+        self.origins: dict[int, Conn] = {}  # connections of routers to proxies, by the local port of the proxy's connection to the server
+        super().__init__(*args)
 
     def port_of(self, name: str) -> int:
         if name not in self.proxies:
@@ -38,7 +39,7 @@
         return origin.times if origin is not None else super().times_of(conn)
 
     def take_down(self, name: str) -> None:
-        if self.models[name].up:  # another trouble may have it down already
+        if self.models[name].up:  # another fault may have taken the server down already
             super().take_down(name)
             self.proxies[name].take_down()
 
@@ -48,29 +49,29 @@
             super().bring_back(name)
 
     def mass_crash(self, fault, names: list[str]):
-        """All crash within `CRASH_SPREAD`; discovery removes them, together or one by one, and lists those that are back, each at its
-        address or at another."""
+        """All servers crash within CRASH_SPREAD. Discovery removes them, together or one by one, and lists each again when it is back, at
+        the same address or at another one."""
         for name in names:
             self.loop.later(int(self.random.random() * CRASH_SPREAD), lambda name=name: self.take_down(name))
-        self.loop.later(int(fault.times * MS), lambda: self.removed(names))
-        return lambda: [self.return_of(name) for name in names]
+        self.loop.later(int(fault.times * MS), lambda: self.remove_crashed(names))
+        return lambda: [self.return_server(name) for name in names]
 
-    def removed(self, names: list[str]) -> None:
-        gone = [name for name in names if not self.models[name].up]
+    def remove_crashed(self, names: list[str]) -> None:
+        crashed = [name for name in names if not self.models[name].up]
         if self.random.random() < 0.5:
-            return self.announce(gone, "removed") if gone else None
-        for name in gone:
+            return self.announce(crashed, "removed") if crashed else None
+        for name in crashed:
             self.loop.later(int(self.random.random() * REMOVAL_SPREAD), lambda name=name: self.announce([name], "removed"))
 
-    def return_of(self, name: str) -> None:
-        if self.models[name].up:  # another trouble has brought it back
+    def return_server(self, name: str) -> None:
+        if self.models[name].up:  # another fault has brought the server back
             return self.announce([name], "up")
         if self.random.random() < 0.3:
             self.proxies[name].move()
         self.bring_back(name)
 
     def list_flaps(self, fault, names: list[str]) -> None:
-        """Servers that stay as they are leave the list and come again, some first with an address that refuses."""
+        """Servers that keep running are removed from the list and listed again, some of them first with an address that refuses."""
         until = self.loop.now() + int(fault.lasts * SECOND)
         for name in names:
             self.flap(name, until)
@@ -79,25 +80,25 @@
         if self.loop.now() >= until:
             return
         self.announce([name], "removed")
-        wait = self.random.randint(*FLAP) * MS
+        wait = self.random.randint(*FLAP_INTERVAL_MS) * MS
         if self.random.random() < 0.5:
             row = self.row(name) | {"address": "127.0.0.1:%d" % free_port()}
             self.loop.later(wait, lambda: self.announce_rows([row], "up"))
-            wait += self.random.randint(*FLAP) * MS
+            wait += self.random.randint(*FLAP_INTERVAL_MS) * MS
         self.loop.later(wait, lambda: self.announce([name], "up"))
-        self.loop.later(wait + self.random.randint(*FLAP) * MS, lambda: self.flap(name, until))
+        self.loop.later(wait + self.random.randint(*FLAP_INTERVAL_MS) * MS, lambda: self.flap(name, until))
 
-    def new_names(self, every: int, until: int) -> None:
-        """Discovery lists a server that drains and removes it, and purges an object, none of which was named before or is again."""
-        name = f"passing-{next(self.passing)}"
+    def publish_new_names(self, interval: int, until: int) -> None:
+        """At an interval, discovery lists and removes a draining server and purges an object, under names that are used only once."""
+        name = f"passing-{next(self.new_name_numbers)}"
         row = endpoint(name, free_port(), "std", status="draining", weight=1.0, since_ms=0)
         self.discovery.publish(
             {"pool": {"index": 1, "snapshot": False, "endpoints": [row]}},
             {"pool": {"index": 1, "snapshot": False, "endpoints": [row | {"status": "removed"}]}},
-            {"flush": {"asset": f"{next(self.passing):016x}", "ms": self.loop.now() // MS}},
+            {"flush": {"asset": f"{next(self.new_name_numbers):016x}", "ms": self.loop.now() // MS}},
         )
-        if self.loop.now() + every < until:
-            self.loop.later(every, lambda: self.new_names(every, until))
+        if self.loop.now() + interval < until:
+            self.loop.later(interval, lambda: self.publish_new_names(interval, until))
 
     def inject_other(self, fault, names: list[str]):
         proxies = [self.proxies[name] for name in names if name in self.proxies]
@@ -116,7 +117,7 @@
         if fault.what == "list_flaps":
             return self.list_flaps(fault, names)
         if fault.what == "new_names":
-            return self.new_names(int(SECOND / fault.times), self.loop.now() + int(fault.lasts * SECOND))
+            return self.publish_new_names(int(SECOND / fault.times), self.loop.now() + int(fault.lasts * SECOND))
         return super().inject_other(fault, names)
 
     @staticmethod
@@ -126,7 +127,7 @@
         return lambda: [setattr(proxy, name, after) for proxy in proxies]
 
     def unread(self, name: str) -> bool:
-        """Whether the server reads nothing, so that an end written to it is not seen."""
+        """Whether the server may not read, so that the laboratory does not see a cancel that a router has written."""
         front: ServerFrontend | None = self.fronts.get(name)
         proxy = self.proxies.get(name)
         return (
