--- a/fieldspur/lab/soak/__init__.py
+++ b/fieldspur/lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The randomized fault soak: real router processes, troubles that overlap, and invariants judged at the sockets."""
+"""The randomized fault soak: real router processes, overlapping faults, and invariants that are checked at the sockets."""
--- a/fieldspur/lab/soak/shim.c
+++ b/fieldspur/lab/soak/shim.c
@@ -1,4 +1,4 @@
-/* Fault shim for one router process (LD_PRELOAD): system calls that fail as Linux documents, a wall clock that is stepped.
+/* Fault shim for one router process (LD_PRELOAD): system calls fail with errors that Linux documents, and the wall clock is stepped.
  * The control block is a file mapped into memory, which the laboratory writes while the process runs. Rates are per 1000 calls. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -21,14 +21,14 @@
     int64_t clock_offset_ns;
     uint64_t seed;
     uint32_t accept, socket, connect, eintr, shorten, broken, disk; /* per 1000 calls */
-    uint32_t dial_delay_ms;                                         /* at most, of each connect */
-    uint32_t fired[8];                                              /* how often each failed, in the order above; dials last */
+    uint32_t dial_delay_ms;                                         /* greatest random delay of a connect */
+    uint32_t fired[8];                                              /* failures of each kind, in the order above; delayed connects last */
 };
 enum { ACCEPT, SOCKET, CONNECT, EINTR_, SHORTEN, BROKEN, DISK, DIAL };
 
 static struct control none;
 static struct control *control = &none;
-static unsigned char outgoing[65536]; /* descriptors that `connect` was called for */
+static unsigned char outgoing[65536]; /* per descriptor: 1 if this process has called `connect` for it */
 static __thread uint64_t state;
 static uint64_t threads;
 
@@ -66,7 +66,7 @@
 
 int accept4(int fd, struct sockaddr *address, socklen_t *size, int flags) {
     if (fires(control->eintr, EINTR_)) return FAIL(EINTR);
-    if (control->accept) { /* it fails where a connection waits, which then waits on; a blocking call waits for one first */
+    if (control->accept) { /* fail only if a connection is waiting, which stays in the queue; a blocking call waits for one first */
         struct pollfd waits = {fd, POLLIN, 0};
         int blocking = !(fcntl(fd, F_GETFL) & O_NONBLOCK);
         if (poll(&waits, 1, blocking ? 200 : 0) > 0 && fires(control->accept, ACCEPT))
@@ -96,7 +96,7 @@
     return REAL(connect)(fd, address, size);
 }
 
-/* A connection that this process made breaks: the system gives its error once, then its end. */
+/* Breaks a connection that this process has opened: the first call gets an error, later calls see the end of the connection. */
 static int breaks(int fd) {
     if (fd < 0 || fd >= 65536 || !outgoing[fd] || !fires(control->broken, BROKEN)) return 0;
     shutdown(fd, SHUT_RDWR);
@@ -156,7 +156,7 @@
     return now.tv_sec;
 }
 
-/* The disk: writes and syncs of regular files fail, a write may be half done. Standard streams are left alone. */
+/* The disk: writes and syncs of regular files fail, and a failing write may write half. Standard streams never fail. */
 
 static int on_disk(int fd) {
     struct stat about;
