--- a/fieldspur/bench/takeover.py
+++ b/fieldspur/bench/takeover.py
@@ -1,7 +1,7 @@
-"""How long a fleet is without a member that acts: who acts is killed again and again, and comes back without memory.
+"""Measures how long a fleet has no coordinator: kills the coordinator repeatedly and restarts it without its state.
 
-Several fleets side by side, each of real processes on loopback, without load. A member counts as acting once a majority, itself
-included, has said back a tick under its ballot: that is when its lease begins."""
+Several fleets run side by side, each of real processes on loopback, without load. A member counts as the coordinator once
+a majority, itself included, has echoed a tick under its ballot, because its lease begins then."""
 
 from __future__ import annotations
 
@@ -22,34 +22,39 @@
 from fieldspur.bench.start import UnchangedDiscovery
 from fieldspur.fleet.admin import fetch_line
 
-LOOK = 0.02  # s
-LONGEST = 30.0
-SETTLES = 0.3, 2.0  # s between a fleet that is whole and the next kill, by chance
+POLL_S = 0.02  # interval between polls of the members
+MAX_WAIT_S = 30.0  # for any state of the fleet that the bench waits for
+KILL_DELAY_S = 0.3, 2.0  # range of the random delay between a complete fleet and the next kill
 
 
-class Fleet:
+class FleetProcesses:
+    """The processes of one fleet's members, with their files in `folder`."""
+
     def __init__(self, folder: Path, members: int, lease: float, seed: int):
-        self.folder, self.many, self.lease, self.random = folder, members, lease, random.Random(seed)
+        self.folder, self.member_count, self.lease_s, self.random = folder, members, lease, random.Random(seed)
         self.host = "127.%d.%d.%d" % (1 + os.getpid() // 250 % 250, 1 + os.getpid() % 250, 10 + seed)
-        self.board = UnchangedDiscovery()
+        self.discovery = UnchangedDiscovery()
         self.ports = [free_port(self.host) for _ in range(members)]
         self.processes: list = [None] * members
         folder.mkdir()
         for n in range(members):
             (folder / f"node-{n}.json").write_text(
                 json.dumps(
-                    node_file(free_port(), self.board.sock.getsockname()[1], [("c0", 1, "std")], name=f"n{n}", seed=f"{seed * 100 + n:x}")
+                    node_file(
+                        free_port(), self.discovery.sock.getsockname()[1], [("c0", 1, "std")], name=f"n{n}", seed=f"{seed * 100 + n:x}"
+                    )
                 )
             )
 
-    def wishes(self, first: bool) -> Path:
+    def write_operators_file(self, first: bool) -> Path:
+        """Writes the operators' file, which all members share, and returns its path. `first` allows the fleet to be founded."""
         path = self.folder / "operators.json"
         path.write_text(
             json.dumps(
                 {
                     "fleet": {
                         "name": "bench",
-                        "lease_s": self.lease,
+                        "lease_s": self.lease_s,
                         "first": first,
                         "members": {f"n{n}": f"{self.host}:{port} east" for n, port in enumerate(self.ports)},
                     }
@@ -62,96 +67,100 @@
         env = {
             **os.environ,
             "LB_CONFIG": str(self.folder / f"node-{n}.json"),
-            "LB_OPERATORS": str(self.wishes(False)),
+            "LB_OPERATORS": str(self.write_operators_file(False)),
             "PYTHONPATH": str(ROOT),
             "MALLOC_ARENA_MAX": "2",
         }
         self.processes[n] = subprocess.Popen([sys.executable, "-B", "-O", "-m", "fieldspur"], env=env, cwd=ROOT, stderr=subprocess.DEVNULL)
 
-    def lines(self, but: int = -1) -> list[dict]:
-        found = [fetch_line((self.host, port), 0.5) for n, port in enumerate(self.ports) if n != but]
-        return [line for line in found if line is not None]
+    def lines(self, excluded: int = -1) -> list[dict]:
+        """Returns the published lines of the members that answer; `excluded` is the number of a member not to ask."""
+        answers = [fetch_line((self.host, port), 0.5) for n, port in enumerate(self.ports) if n != excluded]
+        return [line for line in answers if line is not None]
 
-    def acting(self, but: int = -1) -> int | None:
-        """The member that holds a lease, as a majority says."""
-        lines = self.lines(but)
+    def coordinator(self, excluded: int = -1) -> int | None:
+        """Returns the number of the member that holds the lease by the lines of a majority, or None."""
+        lines = self.lines(excluded)
         for line in lines:
             ballot = line["register"]["asked"]
             if (
                 ballot == line["register"]["promised"]
                 and ballot[1] == line["register"]["member"]
-                and sum(other["backs"][0] == ballot and other["backs"][1] > 0 for other in lines) > self.many // 2
+                and sum(other["backs"][0] == ballot and other["backs"][1] > 0 for other in lines) > self.member_count // 2
             ):
                 return ballot[1]
         return None
 
-    def until(self, true, what: str):
-        end = time.monotonic() + LONGEST
-        while not (found := true()):
-            if time.monotonic() > end:
-                raise BenchFailed(f"{what} did not come within {LONGEST:g} s")
-            time.sleep(LOOK)
-        return found
+    def wait_for(self, condition, description: str):
+        """Polls `condition` until it returns a true value, and returns that value."""
+        deadline = time.monotonic() + MAX_WAIT_S
+        while not (result := condition()):
+            if time.monotonic() > deadline:
+                raise BenchFailed(f"{description}: not reached within {MAX_WAIT_S:g} s")
+            time.sleep(POLL_S)
+        return result
 
     def found(self) -> None:
-        for n in range(self.many):
+        """Starts all members and founds the fleet through the operators' file and SIGHUP."""
+        for n in range(self.member_count):
             self.start(n)
-        self.until(lambda: len(self.lines()) == self.many, "all members")
+        self.wait_for(lambda: len(self.lines()) == self.member_count, "all members")
 
-        def begun() -> bool:
+        def try_to_found() -> bool:
             for first in (False, True):
-                self.wishes(first)
+                self.write_operators_file(first)
                 self.processes[0].send_signal(signal.SIGHUP)
                 time.sleep(0.3)
             return all(line["register"]["life"] for line in self.lines())
 
-        self.until(begun, "a fleet that begins")
-        self.wishes(False)
+        self.wait_for(try_to_found, "a founded fleet")
+        self.write_operators_file(False)
 
     def kill(self) -> float:
-        """Seconds until another acts."""
-        who = self.until(lambda: [n] if (n := self.acting()) is not None else None, "a member that acts")[0]
-        self.processes[who].kill()
-        began = time.monotonic()
-        self.processes[who].wait()
-        self.until(lambda: self.acting(but=who) not in (None, who), "another that acts")
-        took = time.monotonic() - began
-        self.start(who)
-        self.until(
-            lambda: len(lines := self.lines()) == self.many and all(line["register"]["life"] for line in lines), "all members with a life"
+        """Kills the coordinator, restarts it once there is another one, and returns the seconds from the kill to the new coordinator."""
+        killed = self.wait_for(lambda: [n] if (n := self.coordinator()) is not None else None, "a coordinator")[0]
+        self.processes[killed].kill()
+        killed_at = time.monotonic()
+        self.processes[killed].wait()
+        self.wait_for(lambda: self.coordinator(excluded=killed) not in (None, killed), "another coordinator")
+        takeover_s = time.monotonic() - killed_at
+        self.start(killed)
+        self.wait_for(
+            lambda: len(lines := self.lines()) == self.member_count and all(line["register"]["life"] for line in lines),
+            "all members in the fleet again",
         )
-        time.sleep(self.random.uniform(*SETTLES))
-        return took
+        time.sleep(self.random.uniform(*KILL_DELAY_S))
+        return takeover_s
 
-    def end(self) -> None:
+    def stop(self) -> None:
         for process in self.processes:
             if process is not None:
                 process.kill()
                 process.wait()
-        self.board.sock.close()
+        self.discovery.sock.close()
 
 
 def measure(kills: int, fleets: int, members: int, lease: float, seed: int) -> dict:
-    """Seconds until a new member acts over so many kills in all."""
+    """Returns the distribution of the seconds until there is a new coordinator, over `kills` kills in all fleets together."""
 
-    def one(n: int) -> list[float]:
-        fleet = Fleet(Path(folder) / f"{n}", members, lease, seed + n)
+    def run_fleet(n: int) -> list[float]:
+        fleet = FleetProcesses(Path(folder) / f"{n}", members, lease, seed + n)
         try:
             fleet.found()
             return [fleet.kill() for _ in range(kills // fleets + (n < kills % fleets))]
         finally:
-            fleet.end()
+            fleet.stop()
 
     with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(fleets) as pool:
-        took = sorted(second for row in pool.map(one, range(fleets)) for second in row)
-    at = lambda share: round(took[min(len(took) - 1, int(share * len(took)))], 2)
+        takeovers_s = sorted(seconds for row in pool.map(run_fleet, range(fleets)) for seconds in row)
+    percentile = lambda share: round(takeovers_s[min(len(takeovers_s) - 1, int(share * len(takeovers_s)))], 2)
     return {
-        "kills": len(took),
+        "kills": len(takeovers_s),
         "members": members,
         "lease_s": lease,
-        "p50_s": at(0.5),
-        "p90_s": at(0.9),
-        "p99_s": at(0.99),
-        "most_s": round(took[-1], 2),
-        "mean_s": round(statistics.mean(took), 2),
+        "p50_s": percentile(0.5),
+        "p90_s": percentile(0.9),
+        "p99_s": percentile(0.99),
+        "most_s": round(takeovers_s[-1], 2),
+        "mean_s": round(statistics.mean(takeovers_s), 2),
     }
