--- a/fieldspur/permissions.py
+++ b/fieldspur/permissions.py
@@ -216,7 +216,7 @@
     unfinished_bytes: int  # received bytes of an unfinished frame
     since: float  # when that frame began, when reading failed, or when the connection was accepted
     idle_since: float  # when something was last written
-    sent_valid_request: bool  # the client has sent a valid request
+    sent_valid_request: bool  # such a client may be idle for longer
 
 
 def close_reason(client: ClientState, now: float, no_reader_s: float) -> CloseReason | None:
@@ -257,7 +257,7 @@
 
     def __init__(self):
         self.failing_since = 0.0  # 0: resources are not exhausted
-        self.freed_descriptors = False  # descriptors were freed since the last accept that succeeded
+        self.freed_descriptors = False  # since the last accept that succeeded
 
     def succeeded(self) -> None:
         """An accept succeeded. If descriptors had to be freed for it, resources still count as exhausted."""
